--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -254,5 +254,7 @@
     read(value)
 }
 
+#[cfg(test)]
+mod fixture_tests;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/engine/records/fixture_tests.rs
@@ -0,0 +1,229 @@
+//! Pins the bytes of every record in the state service, and its key.
+//!
+//! The fixtures never change: a difference means that the records of a running cluster are lost.
+
+use super::*;
+use crate::constants::{DONE_CHUNK, DONE_PART};
+use crate::model::TaskSet;
+use crate::wire::user::{Kind, Priority};
+use fixture_table::FixtureTable;
+use std::fmt::Debug;
+
+#[path = "../../../tests/support/fixture_table.rs"]
+mod fixture_table;
+
+const SUBMITTED_MS: u64 = 1_700_000_000_000;
+const READY_MS: u64 = 1_700_000_000_500;
+
+fn minimal_job() -> Job {
+    Job {
+        id: "run-1".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        kind: Kind::Array,
+        priority: Priority::Low,
+        tasks: 1,
+        cpus: 0.0,
+        gpus: 0.0,
+        memory_gb: 0.0,
+        image: "img-1".into(),
+        image_gb: 0.0,
+        types: None,
+        zone: None,
+        one_zone: false,
+        spread: false,
+        spot: false,
+        estimate_s: 0.0,
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+        awaits: Vec::new(),
+    }
+}
+
+/// A job with every field set, but awaiting none.
+fn full_job() -> Job {
+    Job {
+        id: "run-000412".into(),
+        kind: Kind::Gang,
+        priority: Priority::Production,
+        tasks: 100_000,
+        cpus: 8.5,
+        gpus: 1.0,
+        memory_gb: 64.0,
+        image_gb: 6.2,
+        types: Some(vec!["g8".into(), "c32".into()]),
+        zone: Some("east".into()),
+        one_zone: true,
+        spread: true,
+        spot: true,
+        estimate_s: 240.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        deadline_s: Some(900.0),
+        ..minimal_job()
+    }
+}
+
+fn waiting_job() -> Job {
+    Job {
+        awaits: vec!["run-000410".into(), "run-000411".into()],
+        ..full_job()
+    }
+}
+
+/// The record is written as pinned, and the pinned bytes are read as the record: by way of a value
+/// of any form, and where they stand.
+#[track_caller]
+fn both_ways<T>(table: &mut FixtureTable, name: &str, record: &T)
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let pinned = table.take_bytes(name);
+    assert_eq!(wire::encode(&value(record)), pinned, "{name}");
+    let stored: Value = rmp_serde::from_slice(&pinned).unwrap();
+    assert_eq!(read::<T>(stored).as_ref(), Some(record), "{name}");
+    assert_eq!(wire::decode::<T>(&pinned).as_ref(), Ok(record), "{name}");
+}
+
+#[test]
+fn records_of_jobs_are_read_and_written_as_pinned() {
+    let mut table = FixtureTable::open("records/jobs.txt");
+    let plain = |job| JobRecord::new(job, SUBMITTED_MS);
+    let every_field = JobRecord {
+        job: full_job(),
+        at_ms: SUBMITTED_MS,
+        cancelled: true,
+        ready_ms: Some(READY_MS),
+    };
+    for (name, record) in [
+        ("minimal", JobRecord::new(minimal_job(), 0)),
+        ("plain", plain(full_job())),
+        ("every_field", every_field),
+        ("cancelled", plain(full_job()).cancelled()),
+        ("waiting", plain(waiting_job())),
+        ("waiting_cancelled", plain(waiting_job()).cancelled()),
+        ("ready", plain(waiting_job()).ready(READY_MS)),
+        (
+            "ready_cancelled",
+            plain(waiting_job()).ready(READY_MS).cancelled(),
+        ),
+    ] {
+        both_ways(&mut table, name, &record);
+        let written = wire::encode(&job_value(&record));
+        assert_eq!(written, wire::encode(&value(&record)), "{name}");
+        assert_eq!(read_job(job_value(&record)), Some(record), "{name}");
+    }
+    // Neither `job` nor `step`: not a record.
+    let neither = table.take_bytes("neither");
+    let text = wire::decode::<JobRecord>(&neither).unwrap_err().to_string();
+    assert_eq!(text, table.take_text("neither_error"));
+    table.finish();
+}
+
+#[test]
+fn other_records_are_read_and_written_as_pinned() {
+    let mut table = FixtureTable::open("records/others.txt");
+    for (name, state) in [
+        ("final_queued", JobState::Queued),
+        ("final_running", JobState::Running),
+        ("final_done", JobState::Done),
+        ("final_cancelled", JobState::Cancelled),
+    ] {
+        let record = FinalRecord {
+            state,
+            tasks: 100_000,
+        };
+        both_ways(&mut table, name, &record);
+        assert_eq!(read_final(final_value(&record)), Some(record), "{name}");
+    }
+    let lead = LeadRecord {
+        node: "drone-1".into(),
+        term: 1 << 40,
+    };
+    both_ways(&mut table, "lead", &lead);
+    both_ways(&mut table, "term", &TermRecord { term: u64::MAX });
+    let starts = |job: &str, machine: &str, tasks| (job.into(), machine.into(), tasks);
+    let round = RoundRecord {
+        starts: vec![
+            starts("run-000412", "host-000231", vec![0, 1, 99_999]),
+            starts("run-7", "host-000232", Vec::new()),
+        ],
+    };
+    both_ways(&mut table, "round", &round);
+    let empty_round = RoundRecord { starts: Vec::new() };
+    both_ways(&mut table, "round_empty", &empty_round);
+    let mut done = TaskSet::full(DONE_PART + 70);
+    done.remove(3);
+    done.remove(DONE_PART + 64);
+    for (name, part) in [("work", 0), ("work_part_1", 1), ("work_empty", 2)] {
+        let done = done.part_text(part);
+        both_ways(&mut table, name, &WorkRecord { done });
+    }
+    table.finish();
+}
+
+#[test]
+fn ends_of_jobs_are_written_as_pinned() {
+    let mut table = FixtureTable::open("records/ends.txt");
+    for (name, state) in [("done", JobState::Done), ("cancelled", JobState::Cancelled)] {
+        let txn = end(Txn::default(), "run-000412", 41, state, 16);
+        assert_eq!(wire::encode(&txn), table.take_bytes(name), "{name}");
+    }
+    table.finish();
+}
+
+#[test]
+fn keys_are_formed_as_pinned() {
+    let mut table = FixtureTable::open("records/keys.txt");
+    let id = JobId::from("run-000412");
+    let large = 100_000;
+    for (name, key) in [
+        ("live", LIVE.to_owned()),
+        ("lead", LEAD.to_owned()),
+        ("jobs", JOBS.to_owned()),
+        ("term", TERM.to_owned()),
+        ("all_work", WORK.to_owned()),
+        ("all_rounds", ROUNDS.to_owned()),
+        ("job", job_key("run-000412")),
+        ("final", final_key("run-000412")),
+        ("work_small", work_key(&id, 1, 0)),
+        ("work_largest_small", work_key(&id, DONE_PART, 0)),
+        ("work_smallest_large", work_key(&id, DONE_PART + 1, 0)),
+        ("work_part", work_key(&id, large, 3)),
+        ("round", round_key(0x10_0001, 0)),
+        ("round_part", round_key(0x10_0001, 12)),
+        ("round_largest", round_key(u64::MAX, 0)),
+    ] {
+        assert_eq!(key, table.take_text(name), "{name}");
+    }
+    table.finish();
+}
+
+#[test]
+fn keys_are_read_as_pinned() {
+    let mut table = FixtureTable::open("records/read_keys.txt");
+    let id = JobId::from("run-000412");
+    for (name, first) in [
+        ("work_small", 0),
+        ("work_part", 3 * DONE_PART),
+        ("work_old_chunk", 12 * DONE_CHUNK),
+    ] {
+        let key = table.take_text(name);
+        assert_eq!(work_of_key(&key), Some((id.clone(), first)), "{name}");
+    }
+    for name in ["work_not_a_part", "work_overflow", "work_of_another_prefix"] {
+        assert_eq!(work_of_key(&table.take_text(name)), None, "{name}");
+    }
+    for (name, number) in [
+        ("round", 0x10_0001),
+        ("round_part", 0x10_0001),
+        ("round_largest", u64::MAX),
+    ] {
+        assert_eq!(round_of_key(&table.take_text(name)), Some(number), "{name}");
+    }
+    for name in ["round_not_a_number", "round_of_another_prefix"] {
+        assert_eq!(round_of_key(&table.take_text(name)), None, "{name}");
+    }
+    table.finish();
+}
