--- /dev/null
+++ b/tests/bad_input/requests.rs
@@ -0,0 +1,207 @@
+//! What users and workers are answered over HTTP: the status, when to ask again, and the error's text.
+
+use super::messages::{report, submission};
+use super::mutations::encode;
+use super::support::{PATIENCE, map, ready_node_where};
+use super::{Case, assert_fixture};
+use rmpv::Value;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// Sends a request on a connection of its own and tells the answer in one line.
+async fn outcome_of(front: SocketAddr, method: &str, path: &str, body: &[u8]) -> String {
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nhost: {front}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
+        body.len()
+    );
+    let exchange = async {
+        let mut stream = TcpStream::connect(front).await.unwrap();
+        stream.write_all(head.as_bytes()).await.unwrap();
+        stream.write_all(body).await.unwrap();
+        let mut answer = Vec::new();
+        stream.read_to_end(&mut answer).await.unwrap();
+        answer
+    };
+    let answer = tokio::time::timeout(PATIENCE, exchange).await;
+    describe(&answer.expect("an answer in time"))
+}
+
+/// The status, the header that tells when to ask again, and the body of an answer.
+fn describe(answer: &[u8]) -> String {
+    let blank_line = answer.windows(4).position(|bytes| bytes == b"\r\n\r\n");
+    let (head, body) = answer.split_at(blank_line.expect("a whole head") + 4);
+    let head = std::str::from_utf8(head).unwrap().to_ascii_lowercase();
+    let status = head.split(' ').nth(1).expect("a status");
+    let header = |name: &str| {
+        let line = head.lines().find_map(|line| line.strip_prefix(name));
+        line.map_or("none", str::trim).to_owned()
+    };
+    let body = match rmpv::decode::read_value(&mut &body[..]) {
+        Ok(value) => value.to_string(),
+        Err(_) => format!("{} bytes", body.len()),
+    };
+    format!(
+        "status {status}, content-type {}, retry-after {}, body {body}",
+        header("content-type:"),
+        header("retry-after:")
+    )
+}
+
+/// A message with fields changed, or added where it has none of that name.
+fn with_fields(message: Value, fields: Vec<(&str, Value)>) -> Vec<u8> {
+    let Value::Map(mut entries) = message else {
+        unreachable!("messages are maps");
+    };
+    for (field, value) in fields {
+        entries.retain(|(key, _)| key.as_str() != Some(field));
+        entries.push((field.into(), value));
+    }
+    encode(&Value::Map(entries))
+}
+
+fn job_with(fields: Vec<(&str, Value)>) -> Vec<u8> {
+    let mut all = vec![("awaits", Value::Array(Vec::new()))];
+    all.extend(fields);
+    with_fields(submission(), all)
+}
+
+fn awaits(id: &str) -> Vec<u8> {
+    job_with(vec![("awaits", Value::Array(vec![id.into()]))])
+}
+
+/// A request by its name, method, path and body.
+type Request = (&'static str, &'static str, &'static str, Vec<u8>);
+
+fn submissions() -> Vec<Request> {
+    let bodies = vec![
+        ("empty body", Vec::new()),
+        ("not MessagePack", b"not MessagePack".to_vec()),
+        ("cut off", submission_cut_off()),
+        ("field missing", encode(&map(vec![("uid", "run-1".into())]))),
+        ("tasks as text", job_with(vec![("pieces", "3".into())])),
+        ("unknown kind", job_with(vec![("form", "not known".into())])),
+        (
+            "long unknown kind",
+            job_with(vec![("form", "x".repeat(300).into())]),
+        ),
+        ("bad id", job_with(vec![("uid", "job 1".into())])),
+        ("no tasks", job_with(vec![("pieces", 0.into())])),
+        ("amount below 0", job_with(vec![("gpus", (-1).into())])),
+        ("bad awaited id", awaits("job 1")),
+        (
+            "body over 64 KiB",
+            job_with(vec![("plate", "x".repeat(70_000).into())]),
+        ),
+        ("unknown team", job_with(vec![("crew", "nobody".into())])),
+        (
+            "unknown team with quotes",
+            job_with(vec![("crew", "no\"bo\\dy".into())]),
+        ),
+        (
+            "no machine type large enough",
+            job_with(vec![("gpus", 5.into())]),
+        ),
+        (
+            "unknown machine type",
+            job_with(vec![("models", Value::Array(vec!["x".into()]))]),
+        ),
+        ("unknown zone", job_with(vec![("yard", "north".into())])),
+        (
+            "task over the limit",
+            job_with(vec![("crew", "speech".into()), ("gpus", 4.into())]),
+        ),
+        (
+            "gang over the limit",
+            job_with(vec![("form", "ensemble".into()), ("gpus", 3.into())]),
+        ),
+        (
+            "service over the limit",
+            job_with(vec![("form", "standing".into()), ("gpus", 3.into())]),
+        ),
+        ("awaits itself", awaits("run-000412")),
+        ("awaits an unknown job", awaits("run-000411")),
+    ];
+    let request = |(name, body)| (name, "POST", "/submissions", body);
+    bodies.into_iter().map(request).collect()
+}
+
+fn submission_cut_off() -> Vec<u8> {
+    let mut body = job_with(vec![]);
+    body.truncate(body.len() / 2);
+    body
+}
+
+fn reports() -> Vec<Request> {
+    let task = |value: Value| with_fields(report(), vec![("pieces", Value::Array(vec![value]))]);
+    let bodies = vec![
+        ("report with empty body", Vec::new()),
+        ("report cut off", vec![0x81]),
+        ("report as a list", vec![0x90]),
+        (
+            "report with a field missing",
+            encode(&map(vec![("host", "h".into())])),
+        ),
+        (
+            "report with sequence as text",
+            with_fields(report(), vec![("tally", "1".into())]),
+        ),
+        ("report with a number for a task", task(7.into())),
+        (
+            "report with a list for a task",
+            task(Value::Array(Vec::new())),
+        ),
+        ("report with an empty task", task(map(vec![]))),
+        (
+            "report over 64 KiB",
+            with_fields(report(), vec![("host", "x".repeat(70_000).into())]),
+        ),
+    ];
+    let request = |(name, body)| (name, "POST", "/v1/report", body);
+    bodies.into_iter().map(request).collect()
+}
+
+fn other_requests() -> Vec<Request> {
+    vec![
+        ("unknown job", "GET", "/submissions/run-000999", Vec::new()),
+        ("job with a bad id", "GET", "/submissions/job-1", Vec::new()),
+        (
+            "cancel an unknown job",
+            "POST",
+            "/submissions/run-000999/cancel",
+            Vec::new(),
+        ),
+        (
+            "cancel a job with a bad id",
+            "POST",
+            "/submissions/job-1/cancel",
+            Vec::new(),
+        ),
+        ("unknown path", "GET", "/nowhere", Vec::new()),
+        ("method not allowed", "DELETE", "/submissions", Vec::new()),
+    ]
+}
+
+#[tokio::test]
+async fn answers_to_bad_requests() {
+    let speech = "name = \"speech\"\ngpus_max = ";
+    let node =
+        ready_node_where(|text| text.replace(&format!("{speech}8.0"), &format!("{speech}2.0")));
+    let node = node.await;
+    let mut cases = Vec::new();
+    let mut requests = submissions();
+    requests.extend(reports());
+    requests.extend(other_requests());
+    for (name, method, path, body) in requests {
+        let outcome = outcome_of(node.front, method, path, &body).await;
+        let name = name.to_owned();
+        cases.push(Case { name, outcome });
+    }
+    node.service.down.store(true, Ordering::Relaxed);
+    let path = "/submissions/run-000999";
+    let outcome = outcome_of(node.front, "GET", path, &[]).await;
+    let name = "state service refuses".to_owned();
+    cases.push(Case { name, outcome });
+    assert_fixture("requests.txt", &cases);
+}
