--- a/src/engine/tests/mod.rs
+++ b/src/engine/tests/mod.rs
@@ -9,6 +9,7 @@
 mod machine_lists;
 mod meetings;
 mod pipelines;
+mod replay;
 mod requirements;
 mod stored;
 mod world;
--- /dev/null
+++ b/src/engine/tests/replay/coverage.rs
@@ -0,0 +1,192 @@
+//! What the recorded scripts exercise, so that agreement with them means something.
+
+use super::scenarios::SCENARIOS;
+use super::{read, script};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Guards against files that agree with the engine because they exercise nothing.
+#[test]
+fn recorded_scripts_cover_every_kind_of_command_and_effect() {
+    let mut coverage = Coverage::default();
+    for scenario in &SCENARIOS {
+        for process in read(scenario.name).processes {
+            coverage.count("process".into());
+            for step in process.steps {
+                coverage.add(scenario.name, &step);
+            }
+        }
+    }
+    println!("{coverage:#?}");
+    for kind in KINDS {
+        assert!(coverage.counts.contains_key(kind), "no {kind}");
+    }
+    let replaced = coverage.terms.len() > SCENARIOS.len();
+    assert!(replaced, "no leader was replaced");
+}
+
+/// How often each kind of thing occurs in the scripts.
+#[derive(Debug, Default)]
+struct Coverage {
+    counts: BTreeMap<String, usize>,
+    /// Terms in which some node has led.
+    terms: BTreeSet<(&'static str, u64)>,
+}
+
+impl Coverage {
+    fn count(&mut self, kind: String) {
+        *self.counts.entry(kind).or_default() += 1;
+    }
+
+    fn add(&mut self, scenario: &'static str, step: &script::Step) {
+        self.count("step".into());
+        if step.commands.len() > 1 {
+            self.count("batch of several commands".into());
+        }
+        for command in &step.commands {
+            self.count(kind_of_command(command));
+            for state in reported(command) {
+                self.count(state);
+            }
+        }
+        for effect in &step.outcome.effects {
+            self.count(kind_of_effect(effect));
+            for verb in told(effect) {
+                self.count(verb);
+            }
+        }
+        if step.outcome.status.leading {
+            self.terms.insert((scenario, step.outcome.status.term));
+        }
+    }
+}
+
+/// What the recorded scripts must contain.
+const KINDS: [&str; 56] = [
+    "command Heartbeat",
+    "command Heartbeat with a preemption notice",
+    "command TaskCounts",
+    "command StoreAnswer Item",
+    "command StoreAnswer Listing",
+    "command StoreAnswer Committed",
+    "command StoreAnswer LeaseGranted",
+    "command StoreAnswer Done",
+    "command StoreAnswer Changes",
+    "command StoreAnswer Refused",
+    "command StoreAnswer Unknown",
+    "command CloudAnswer Types",
+    "command CloudAnswer Rented",
+    "command CloudAnswer Returned",
+    "command CloudAnswer Listed",
+    "command CloudAnswer Failed",
+    "command CloudAnswer NoCapacity",
+    "command Announcement",
+    "command JobCancelled",
+    "command BlockedJobState",
+    "command UnknownJobs",
+    "effect Reply HeartbeatAnswer",
+    "effect Reply Redirect",
+    "effect Reply Unavailable",
+    "effect Reply TaskCounts",
+    "effect Reply BlockedJobState",
+    "effect Reply UnknownJobs",
+    "effect Store Commit",
+    "effect Store Watch",
+    "effect Cloud Rent",
+    "effect Cloud Return",
+    "effect Cloud List",
+    "effect WorkerCommands",
+    "effect Store Get",
+    "effect Store List",
+    "effect Store GrantLease",
+    "effect Store RenewLease",
+    "effect Store EndLease",
+    "effect Cloud Types",
+    "command StoreAnswer Conflict",
+    "batch of several commands",
+    "told launch",
+    "told kill",
+    "told forget",
+    "task fetching",
+    "task gathering",
+    "task running",
+    "task saving",
+    "task ended done",
+    "task ended stopped",
+    "task ended error",
+    "task ended peers",
+    "task ended alone",
+    "task ended full",
+    "task ended busy",
+    "task ended no_such",
+];
+
+/// The name of a variant of the script's own types.
+fn variant(value: &impl std::fmt::Debug) -> String {
+    let text = format!("{value:?}");
+    let end = text.find(|c: char| !c.is_alphanumeric());
+    text[..end.unwrap_or(text.len())].to_owned()
+}
+
+fn kind_of_command(command: &script::Command) -> String {
+    let kind = variant(command);
+    match command {
+        script::Command::StoreAnswer { answer, .. } => {
+            format!("command {kind} {}", variant(answer))
+        }
+        script::Command::CloudAnswer { answer, .. } => {
+            format!("command {kind} {}", variant(answer))
+        }
+        script::Command::Heartbeat { body, .. } if has_notice(body) => {
+            format!("command {kind} with a preemption notice")
+        }
+        _ => format!("command {kind}"),
+    }
+}
+
+fn has_notice(heartbeat: &script::Body) -> bool {
+    !heartbeat.decoded()["recall_s"].is_nil()
+}
+
+/// The states in which a heartbeat reports its tasks, with the reason of those that have ended.
+fn reported(command: &script::Command) -> Vec<String> {
+    let script::Command::Heartbeat { body, .. } = command else {
+        return Vec::new();
+    };
+    let heartbeat = body.decoded();
+    let state = |task: &rmpv::Value| match task["cause"].as_str() {
+        Some(cause) => format!("task {} {cause}", task["status"].as_str().unwrap()),
+        None => format!("task {}", task["status"].as_str().unwrap()),
+    };
+    let tasks = heartbeat["pieces"].as_array().unwrap();
+    tasks.iter().map(state).collect()
+}
+
+/// What a worker is told.
+fn told(effect: &script::Effect) -> Vec<String> {
+    let (script::Effect::WorkerCommands { body, .. }
+    | script::Effect::Reply {
+        reply: script::Reply::HeartbeatAnswer(body),
+        ..
+    }) = effect
+    else {
+        return Vec::new();
+    };
+    let answer = body.decoded();
+    let verb = |order: &rmpv::Value| format!("told {}", order["verb"].as_str().unwrap());
+    answer["orders"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .map(verb)
+        .collect()
+}
+
+fn kind_of_effect(effect: &script::Effect) -> String {
+    let kind = variant(effect);
+    match effect {
+        script::Effect::Reply { reply, .. } => format!("effect {kind} {}", variant(reply)),
+        script::Effect::Store { request, .. } => format!("effect {kind} {}", variant(request)),
+        script::Effect::Cloud { request, .. } => format!("effect {kind} {}", variant(request)),
+        script::Effect::WorkerCommands { .. } => format!("effect {kind}"),
+    }
+}
--- /dev/null
+++ b/src/engine/tests/replay/mod.rs
@@ -0,0 +1,76 @@
+//! Recorded scripts, replayed: the engine answers them byte for byte as it did when they were made.
+//!
+//! The files in `tests/fixtures/replay/` hold all that was told to the engines of a few simulated
+//! clusters, with the effects of every step. They guard refactorings: a change that keeps the
+//! engine's behavior keeps these effects, and the files with them.
+
+mod coverage;
+mod mirror;
+mod recorder;
+mod scenarios;
+mod script;
+
+pub use recorder::{Input, Recorder};
+pub use script::{Process, Script};
+
+use super::world::settings_of;
+use crate::engine::Engine;
+use scenarios::SCENARIOS;
+use std::path::PathBuf;
+use std::sync::Arc;
+
+fn file(name: &str) -> PathBuf {
+    let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
+    root.join(format!("tests/fixtures/replay/{name}.msgpack"))
+}
+
+fn read(name: &str) -> Script {
+    let bytes = std::fs::read(file(name)).unwrap();
+    rmp_serde::from_slice(&bytes).unwrap()
+}
+
+/// Feeds each process of the script to a fresh engine, up to the first step with other effects.
+fn replay(name: &str, script: &Script) {
+    for (number, process) in script.processes.iter().enumerate() {
+        let settings = settings_of(&process.settings, process.node, process.nodes);
+        let mut engine = Engine::new(Arc::new(settings), process.seed);
+        for (position, step) in process.steps.iter().enumerate() {
+            let outcome = mirror::step(&mut engine, step);
+            assert!(
+                outcome == step.outcome,
+                "{name}: process {number} (node {}), step {position} at {} ms\ntold {:#?}\nexpected {:#?}\ngot {outcome:#?}",
+                process.node,
+                step.now,
+                step.commands,
+                step.outcome,
+            );
+        }
+    }
+}
+
+#[test]
+fn recorded_steps_have_the_same_effects() {
+    for scenario in &SCENARIOS {
+        replay(scenario.name, &read(scenario.name));
+    }
+}
+
+/// Guards against a recorder that leaves out something on which the engine depends.
+#[test]
+fn a_fresh_recording_is_the_same_twice_and_replays() {
+    let scenario = &SCENARIOS[0];
+    let script = scenario.record();
+    assert!(script == scenario.record());
+    replay(scenario.name, &script);
+}
+
+/// Makes the files anew, which only a wanted change of the engine's behavior calls for:
+/// `cargo test --lib write_replay_files -- --ignored`.
+#[test]
+#[ignore = "writes the files that the others read"]
+fn write_replay_files() {
+    for scenario in &SCENARIOS {
+        let script = scenario.record();
+        std::fs::write(file(scenario.name), rmp_serde::to_vec(&script).unwrap()).unwrap();
+    }
+}
--- /dev/null
+++ b/src/engine/tests/replay/recorder.rs
@@ -0,0 +1,54 @@
+//! Writes down what the engines of a simulated cluster are told and what they answer.
+
+use super::mirror;
+use super::script::{Command, Process, Script, Step};
+use crate::engine::{self, Effect, View};
+use std::collections::BTreeMap;
+
+#[derive(Default)]
+pub struct Recorder {
+    script: Script,
+    /// The process in the script that each node runs now.
+    current: BTreeMap<usize, usize>,
+}
+
+impl Recorder {
+    /// A node's process starts.
+    pub fn start(&mut self, process: Process) {
+        let position = self.script.processes.len();
+        self.current.insert(process.node, position);
+        self.script.processes.push(process);
+    }
+
+    /// A node's engine took a step.
+    pub fn record(&mut self, node: usize, input: Input, effects: &[Effect], view: &View) {
+        let position = self.current[&node];
+        self.script.processes[position].steps.push(Step {
+            now: input.now,
+            unix_time: input.unix_time,
+            commands: input.commands,
+            outcome: mirror::outcome(effects, view),
+        });
+    }
+
+    pub fn finish(self) -> Script {
+        self.script
+    }
+}
+
+/// What a step was given, taken before the engine consumes it.
+pub struct Input {
+    now: u64,
+    unix_time: u64,
+    commands: Vec<Command>,
+}
+
+impl Input {
+    pub fn new(now: u64, unix_time: u64, commands: &[engine::Command]) -> Input {
+        Input {
+            now,
+            unix_time,
+            commands: commands.iter().map(mirror::record_command).collect(),
+        }
+    }
+}
--- a/src/engine/tests/world/faults.rs
+++ b/src/engine/tests/world/faults.rs
@@ -31,6 +31,14 @@
     pub sick: BTreeSet<String>,
     /// Machines that can't be reached but go on.
     pub cut: BTreeSet<String>,
+    /// Machines that report how soon the cloud takes them back, s.
+    pub notices: BTreeMap<String, f64>,
+    /// Jobs whose tasks exit for this reason instead of running.
+    pub exits: BTreeMap<String, Why>,
+    /// Running tasks that are stopped first save their progress, for as long as their job says.
+    pub saves: bool,
+    /// Tasks of gangs wait this long for each other before they run, ms.
+    pub gathers: Ms,
     /// Jobs whose tasks fail everywhere.
     pub faulty: BTreeSet<String>,
     pub cloud_down: bool,
--- a/src/engine/tests/world/mod.rs
+++ b/src/engine/tests/world/mod.rs
@@ -9,6 +9,7 @@
 pub use faults::{Faults, ListFault};
 pub use workers::{OnMachine, Worker};
 
+use super::replay::{Input, Process, Recorder, Script};
 use crate::cloud::{CloudCall, CloudError, CloudReply};
 use crate::constants as k;
 use crate::engine::records::{self, FinalRecord, JobRecord};
@@ -58,6 +59,13 @@
     started: Ms,
 }
 
+impl Node {
+    /// The seed is fixed: the same verdict every time.
+    fn seed(&self, node: usize) -> u64 {
+        node as u64 * 1000 + self.epoch
+    }
+}
+
 pub struct World {
     pub now: Ms,
     order: u64,
@@ -104,12 +112,20 @@
     next: &'static str,
     /// Decides how slow each message is; a test that varies it says so when it fails.
     pub links: SmallRng,
+    /// Commands for a node that are due within this time arrive in one batch, ms; none: one by one.
+    pub batch_within: Option<Ms>,
+    /// Writes the engines' steps down, if asked to.
+    recorder: Option<Recorder>,
 }
 
-fn settings(node: usize, nodes: usize, gpus_max: f64, next: &str) -> Settings {
+fn settings_text(gpus_max: f64, next: &str) -> String {
     let text = SAMPLE.replace("gpus_max = 8.0", &format!("gpus_max = {gpus_max:?}"));
-    let text = text.replace("txn_ops = 24", &format!("txn_ops = 24\n{next}"));
-    let mut s = Settings::parse(&text, "sample").unwrap();
+    text.replace("txn_ops = 24", &format!("txn_ops = 24\n{next}"))
+}
+
+/// The settings of one of that many nodes, from a file's text.
+pub fn settings_of(text: &str, node: usize, nodes: usize) -> Settings {
+    let mut s = Settings::parse(text, "sample").unwrap();
     let zone = |n: usize| if n == 1 { "west" } else { "east" }.to_owned();
     let peer = s.peers[0].clone();
     s.node = format!("n{node}");
@@ -180,9 +196,12 @@
             value_max: 7 * 1024,
             next,
             links: SmallRng::seed_from_u64(0),
+            batch_within: None,
+            recorder: None,
         };
+        let text = settings_text(gpus_max, next);
         for node in 0..nodes {
-            let zone = settings(node, nodes, gpus_max, next).zone;
+            let zone = settings_of(&text, node, nodes).zone;
             world.nodes.push(Node {
                 engine: None,
                 epoch: 0,
@@ -197,17 +216,42 @@
     }
 
     pub fn start(&mut self, node: usize) {
-        let settings = settings(node, self.nodes.len(), self.gpus_max, self.next);
-        let settings = Arc::new(settings);
+        let text = settings_text(self.gpus_max, self.next);
+        let settings = Arc::new(settings_of(&text, node, self.nodes.len()));
         let it = &mut self.nodes[node];
         it.epoch += 1;
         it.started = self.now;
-        // The seed is fixed: the same verdict every time.
-        it.engine = Some(Engine::new(settings, node as u64 * 1000 + it.epoch));
+        it.engine = Some(Engine::new(settings, it.seed(node)));
+        self.record_start(node);
         self.at(0, Ev::Tick(node));
         self.at(100, Ev::Announce(node));
     }
 
+    /// Records the engines' steps from here on: called before the first one.
+    pub fn record(&mut self) {
+        self.recorder = Some(Recorder::default());
+        for node in 0..self.nodes.len() {
+            self.record_start(node);
+        }
+    }
+
+    /// Ends the recording.
+    pub fn recorded(&mut self) -> Script {
+        self.recorder.take().unwrap().finish()
+    }
+
+    fn record_start(&mut self, node: usize) {
+        if let Some(recorder) = &mut self.recorder {
+            recorder.start(Process {
+                settings: settings_text(self.gpus_max, self.next),
+                node,
+                nodes: self.nodes.len(),
+                seed: self.nodes[node].seed(node),
+                steps: Vec::new(),
+            });
+        }
+    }
+
     pub fn crash(&mut self, node: usize) {
         self.nodes[node].engine = None;
         self.nodes[node].epoch += 1;
@@ -281,6 +325,14 @@
         }
     }
 
+    /// Asks a node where a job's tasks stand.
+    pub fn ask_counts(&mut self, node: usize, id: &str) {
+        self.order += 1;
+        let (job, reply) = (id.into(), self.order);
+        let command = Command::Count { job, reply };
+        self.step(node, self.nodes[node].epoch, Some(command));
+    }
+
     /// Begins such a question.
     pub fn ask_step(&mut self, node: usize, id: &str) -> ReplyId {
         self.order += 1;
@@ -457,6 +509,7 @@
             state: TaskState::Running,
             why: None,
             stop: false,
+            saved: None,
         };
         let w = self.workers.get_mut(machine).unwrap();
         w.tasks.insert(task.into(), planted);
@@ -514,7 +567,7 @@
             Ev::Tick(node) => {
                 if self.nodes[node].engine.is_some() {
                     let epoch = self.nodes[node].epoch;
-                    self.step(node, epoch, None);
+                    self.step(node, epoch, []);
                     self.at(200, Ev::Tick(node));
                 }
             }
@@ -543,7 +596,13 @@
                 self.store.watches.push(watch);
                 self.serve_watches();
             }
-            Ev::Command(node, epoch, command) => self.step(node, epoch, Some(command)),
+            Ev::Command(node, epoch, command) => {
+                let mut batch = vec![command];
+                if let Some(ms) = self.batch_within {
+                    self.take_commands(node, epoch, ms, &mut batch);
+                }
+                self.step(node, epoch, batch);
+            }
             Ev::Send(name) => {
                 if self.workers.get(&name).is_some_and(|w| w.due == self.now) {
                     self.send_report(&name);
@@ -583,7 +642,20 @@
         }
     }
 
-    fn step(&mut self, node: usize, epoch: u64, command: Option<Command>) {
+    /// Adds the commands for a process that are due within this time.
+    fn take_commands(&mut self, node: usize, epoch: u64, ms: Ms, batch: &mut Vec<Command>) {
+        let due = self.queue.range(..=(self.now + ms, u64::MAX));
+        let of = |ev: &Ev| matches!(ev, Ev::Command(n, e, _) if (*n, *e) == (node, epoch));
+        let keys: Vec<(Ms, u64)> = due.filter(|(_, ev)| of(ev)).map(|(key, _)| *key).collect();
+        for key in keys {
+            if let Some(Ev::Command(_, _, command)) = self.queue.remove(&key) {
+                batch.push(command);
+            }
+        }
+    }
+
+    fn step(&mut self, node: usize, epoch: u64, batch: impl IntoIterator<Item = Command>) {
+        let batch: Vec<Command> = batch.into_iter().collect();
         let it = &mut self.nodes[node];
         if it.epoch != epoch {
             return;
@@ -593,10 +665,15 @@
             return;
         };
         // Each process has a steady clock of its own.
-        let kind = kind_of(command.as_ref());
+        let kind = kind_of(batch.first());
+        let recorder = self.recorder.as_mut();
+        let recording = recorder.map(|r| (r, Input::new(now - started, now, &batch)));
         let begun = std::time::Instant::now();
-        let effects = engine.step(now - started, now, command);
+        let effects = engine.step(now - started, now, batch);
         let took = begun.elapsed();
+        if let Some((recorder, input)) = recording {
+            recorder.record(node, input, &effects, &engine.view());
+        }
         self.spent += took;
         let longest = self.longest.entry(kind).or_default();
         *longest = took.max(*longest);
--- a/src/engine/tests/world/workers.rs
+++ b/src/engine/tests/world/workers.rs
@@ -9,6 +9,8 @@
     pub state: TaskState,
     pub(super) why: Option<Why>,
     pub(super) stop: bool,
+    /// Whether progress was saved at the end.
+    pub(super) saved: Option<bool>,
 }
 
 pub struct Worker {
@@ -62,7 +64,7 @@
             session: w.session,
             seq: w.seq,
             token: w.token,
-            notice_s: None,
+            notice_s: self.faults.notices.get(name).copied(),
             tasks: w
                 .tasks
                 .iter()
@@ -71,7 +73,7 @@
                     attempt: t.attempt,
                     state: t.state,
                     why: t.why,
-                    saved: None,
+                    saved: t.saved,
                 })
                 .collect(),
         };
@@ -185,6 +187,7 @@
             state: TaskState::Fetching,
             why: None,
             stop: false,
+            saved: None,
         };
         w.tasks.insert(task.into(), fresh);
         self.starts += 1;
@@ -247,26 +250,45 @@
                 w.tasks.clear();
             }
             let sick = self.faults.sick.contains(name);
+            let (saves, gathers) = (self.faults.saves, self.faults.gathers);
             for (task, t) in &mut w.tasks {
                 let (id, _) = task.rsplit_once('/').unwrap();
                 let job = &self.jobs[id];
                 let fetched = w.images.contains(&job.image) || now >= t.since + FETCH;
                 let longer = self.longer.get(task).copied().unwrap_or(0);
                 let run = (job.estimate_s * 1000.0) as Ms + longer;
+                let save = (job.save_s * 1000.0) as Ms;
                 let exit = |t: &mut OnMachine, why| {
                     t.state = TaskState::Exited;
                     t.why = Some(why);
                 };
                 if t.state == TaskState::Exited {
                     continue;
+                } else if t.stop && saves && t.state == TaskState::Running {
+                    t.state = TaskState::Saving;
+                    t.since = now;
+                } else if t.stop && t.state == TaskState::Saving {
+                    if now >= t.since + save {
+                        exit(t, Why::Stopped);
+                        t.saved = Some(true);
+                    }
                 } else if t.stop {
                     exit(t, Why::Stopped);
+                } else if t.state == TaskState::Waiting {
+                    if now >= t.since + gathers {
+                        t.state = TaskState::Running;
+                        t.since = now;
+                    }
                 } else if t.state == TaskState::Fetching && fetched {
                     w.images.insert(job.image.clone());
                     t.state = TaskState::Running;
                     t.since = now;
                     if sick || self.faults.faulty.contains(id) {
                         exit(t, Why::Error);
+                    } else if let Some(why) = self.faults.exits.get(id) {
+                        exit(t, *why);
+                    } else if job.kind == Kind::Gang && gathers > 0 {
+                        t.state = TaskState::Waiting;
                     }
                 } else if t.state == TaskState::Running && run > 0 && now >= t.since + run {
                     exit(t, Why::Done);
@@ -274,6 +296,8 @@
                 }
                 match t.state {
                     TaskState::Fetching => w.next = w.next.min(t.since + FETCH),
+                    TaskState::Waiting => w.next = w.next.min(t.since + gathers),
+                    TaskState::Saving => w.next = w.next.min(t.since + save),
                     TaskState::Running if run > 0 => w.next = w.next.min(t.since + run),
                     _ => {}
                 }
