--- a/benches/load/cloud.rs
+++ b/benches/load/cloud.rs
@@ -37,13 +37,13 @@
         boot_s: 5.0,
         zones: ZONES.map(String::from).to_vec(),
     };
-    encode(&wire::MachineTypes {
-        types: vec![machine_type],
+    encode(&wire::MachineTypeList {
+        machine_types: vec![machine_type],
     })
 }
 
 async fn rent(State(fleet): State<Arc<Fleet>>, body: Bytes) -> (StatusCode, Vec<u8>) {
-    let Ok(rent) = decode::<wire::Rent>(&body) else {
+    let Ok(rent) = decode::<wire::RentRequest>(&body) else {
         return (StatusCode::BAD_REQUEST, Vec::new());
     };
     let machines = fleet.rent(&rent);
@@ -51,11 +51,11 @@
         let refusal = std::collections::BTreeMap::from([("error", "no capacity")]);
         return (StatusCode::SERVICE_UNAVAILABLE, encode(&refusal));
     }
-    (StatusCode::OK, encode(&wire::Machines { machines }))
+    (StatusCode::OK, encode(&wire::MachineNames { machines }))
 }
 
 async fn take_back(State(fleet): State<Arc<Fleet>>, body: Bytes) -> StatusCode {
-    let Ok(named) = decode::<wire::Machines>(&body) else {
+    let Ok(named) = decode::<wire::MachineNames>(&body) else {
         return StatusCode::BAD_REQUEST;
     };
     fleet.take_back(&named.machines);
@@ -70,5 +70,8 @@
 
 async fn list(State(fleet): State<Arc<Fleet>>, Query(query): Query<ListQuery>) -> Vec<u8> {
     let (machines, more) = fleet.list(query.after.as_deref(), query.page);
-    encode(&wire::MachineList { machines, more })
+    encode(&wire::MachinePage {
+        machines,
+        has_more: more,
+    })
 }
--- a/benches/load/main.rs
+++ b/benches/load/main.rs
@@ -30,11 +30,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use umbervale::http::HttpClient;
 use umbervale::wire::encode;
-use umbervale::wire::user::{Job, Kind, Priority};
+use umbervale::wire::user::{JobKind, JobSubmission, Priority};
 use workers::{Fleet, SERVICE_PREFIX};
 
 /// Tasks that fill a machine.
-const MACHINE_TASKS: u64 = 8;
+const MAX_TASKS_PER_MACHINE: u64 = 8;
 /// How long anything may take under callgrind.
 const PATIENCE: Duration = Duration::from_secs(300);
 
@@ -56,7 +56,7 @@
     /// Between two reports of a worker that has nothing new to tell, s: longer for fleets that are too
     /// large for a node under callgrind.
     #[arg(long, default_value_t = 3)]
-    report_every: u64,
+    heartbeat_interval: u64,
     /// Tasks of a job.
     #[arg(long, default_value_t = 8)]
     job_tasks: u64,
@@ -99,11 +99,14 @@
     std::fs::create_dir_all(&directory).unwrap();
     let nodes = [free_address("n0").await, free_address("n1").await];
     let fronts = nodes.iter().map(|node| (node.name.clone(), node.front));
-    let fleet = Fleet::new(Duration::from_secs(options.report_every), fronts.collect());
+    let fleet = Fleet::new(
+        Duration::from_secs(options.heartbeat_interval),
+        fronts.collect(),
+    );
     let state = serve(Arc::<StateService>::default().router()).await;
     let cloud = serve(cloud::router(fleet.clone())).await;
     for node in &nodes {
-        let text = process::settings(node, &nodes, state, cloud, options.report_every);
+        let text = process::settings(node, &nodes, state, cloud, options.heartbeat_interval);
         std::fs::write(directory.join(format!("{}.toml", node.name)), text).unwrap();
     }
     let start = |name: &str, profiled: bool| {
@@ -149,7 +152,7 @@
         drop(open);
         // The cloud has no machine yet.
         for _ in 0..self.options.waiting {
-            self.submit("run-2", Kind::Array).await;
+            self.submit("run-2", JobKind::Array).await;
         }
         if self.options.waiting > 0 {
             tokio::time::sleep(Duration::from_secs(2)).await;
@@ -158,9 +161,9 @@
         self.fleet.allow(self.options.machines);
         // An eighth of the machines is left for the arrays of the busy phase.
         let machines = (self.options.machines - self.options.machines / 8) as u64;
-        let services = machines * MACHINE_TASKS / self.options.job_tasks;
+        let services = machines * MAX_TASKS_PER_MACHINE / self.options.job_tasks;
         for _ in 0..services {
-            self.submit(SERVICE_PREFIX, Kind::Service).await;
+            self.submit(SERVICE_PREFIX, JobKind::Service).await;
         }
         self.wait_for_tasks((services * self.options.job_tasks) as usize)
             .await;
@@ -169,16 +172,16 @@
         self.end_phase("reports");
         for _ in 0..self.options.seconds {
             for _ in 0..self.options.submissions {
-                self.submit("run-2", Kind::Array).await;
+                self.submit("run-2", JobKind::Array).await;
             }
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
         self.end_phase("busy");
         other.kill();
         if self.options.follower {
-            let before = self.reports();
+            let before = self.heartbeats();
             let all = before + 2 * self.options.machines as u64;
-            wait_until(|| self.reports() >= all).await;
+            wait_until(|| self.heartbeats() >= all).await;
             self.end_phase("take-over");
             self.pass_time().await;
             self.end_phase("after");
@@ -201,8 +204,8 @@
         open
     }
 
-    fn reports(&self) -> u64 {
-        self.fleet.reports.load(Ordering::Relaxed)
+    fn heartbeats(&self) -> u64 {
+        self.fleet.heartbeats.load(Ordering::Relaxed)
     }
 
     async fn pass_time(&self) {
@@ -214,7 +217,7 @@
     }
 
     /// Submits a job, and asks about it from then on.
-    async fn submit(&mut self, prefix: &str, kind: Kind) {
+    async fn submit(&mut self, prefix: &str, kind: JobKind) {
         self.jobs += 1;
         let id = format!("{prefix}{:05}", self.jobs);
         let body = encode(&job(&id, kind, self.options.job_tasks));
@@ -251,10 +254,12 @@
 
     /// Prints what the phase cost, and begins the next one.
     fn end_phase(&mut self, phase: &str) {
-        let reports = self.reports() - self.reports_before;
-        self.reports_before = self.reports();
+        let heartbeats = self.heartbeats() - self.reports_before;
+        self.reports_before = self.heartbeats();
         let (machines, tasks) = self.fleet.size();
-        println!("== {phase}: {reports} reports answered, {machines} machines, {tasks} tasks run");
+        println!(
+            "== {phase}: {heartbeats} heartbeats answered, {machines} machines, {tasks} tasks run"
+        );
         if let Some((now, most)) = self.measured.memory_mb()
             && self.options.native
         {
@@ -268,7 +273,7 @@
         println!(
             "   {:.1} million instructions, {:.1} thousand a report",
             total as f64 / 1e6,
-            total as f64 / 1e3 / reports.max(1) as f64
+            total as f64 / 1e3 / heartbeats.max(1) as f64
         );
         let allocations = profile.calls_of(&["malloc", "calloc", "realloc"]);
         println!("   {allocations} allocations");
@@ -294,8 +299,8 @@
     }
 }
 
-fn job(id: &str, kind: Kind, tasks: u64) -> Job {
-    Job {
+fn job(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
+    JobSubmission {
         id: id.into(),
         class: "load".into(),
         team: "load".into(),
@@ -307,16 +312,16 @@
         memory_gb: 16.0,
         image: "img-01".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: kind == Kind::Service,
-        spot: false,
-        estimate_s: 40.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        single_zone: false,
+        spread_zones: kind == JobKind::Service,
+        allows_spot: false,
+        expected_duration_s: 40.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_cost_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
     }
 }
 
--- a/benches/load/state_service.rs
+++ b/benches/load/state_service.rs
@@ -71,7 +71,12 @@
         return (StatusCode::BAD_REQUEST, Vec::new());
     };
     match service.records().commit(transaction) {
-        Err(failed) => (StatusCode::CONFLICT, encode(&wire::Conflict { failed })),
+        Err(failed) => (
+            StatusCode::CONFLICT,
+            encode(&wire::Conflict {
+                failed_keys: failed,
+            }),
+        ),
         Ok(revision) => {
             service.changed.notify_waiters();
             (StatusCode::OK, encode(&wire::Revision { revision }))
--- a/benches/load/workers.rs
+++ b/benches/load/workers.rs
@@ -15,12 +15,14 @@
 use tokio::time::{Instant, sleep_until};
 use umbervale::http::{Answer, HttpClient};
 use umbervale::wire::cloud as wire_cloud;
-use umbervale::wire::worker::{DirectOrders, Elsewhere, Order, Orders, Report, Task};
-use umbervale::wire::worker::{TaskState, Why};
+use umbervale::wire::worker::{
+    DirectCommands, Heartbeat, HeartbeatResponse, LeaderRedirect, Task, WorkerCommand,
+};
+use umbervale::wire::worker::{ExitReason, TaskState};
 use umbervale::wire::{decode, encode};
 
 /// Least time between two reports.
-const REPORT_LEAST: Duration = Duration::from_millis(500);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a worker waits for an answer: longer than the protocol's 4 s, since a node under
 /// callgrind takes some fifty times as long.
 const PATIENCE: Duration = Duration::from_secs(8);
@@ -32,11 +34,11 @@
 #[derive(Debug)]
 struct Machine {
     zone: String,
-    session: u64,
-    seq: u64,
-    token: u64,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     /// A higher token has come directly, which is reported at once.
-    report_now: bool,
+    heartbeat_now: bool,
     tasks: BTreeMap<(String, u64), RunningTask>,
 }
 
@@ -55,23 +57,23 @@
     capacity: AtomicUsize,
     rented: AtomicU64,
     /// Reports answered with 200.
-    pub reports: AtomicU64,
+    pub heartbeats: AtomicU64,
     nodes: Vec<(String, SocketAddr)>,
     /// Between two reports that tell nothing new.
-    report_every: Duration,
+    heartbeat_interval: Duration,
 }
 
 impl Fleet {
     /// A fleet without machines, that can have none yet, whose workers report to `nodes`.
-    pub fn new(report_every: Duration, nodes: Vec<(String, SocketAddr)>) -> Arc<Fleet> {
+    pub fn new(heartbeat_interval: Duration, nodes: Vec<(String, SocketAddr)>) -> Arc<Fleet> {
         Arc::new(Fleet {
             machines: Mutex::default(),
             changed: Notify::new(),
             capacity: AtomicUsize::new(0),
             rented: AtomicU64::new(0),
-            reports: AtomicU64::new(0),
+            heartbeats: AtomicU64::new(0),
             nodes,
-            report_every,
+            heartbeat_interval,
         })
     }
 
@@ -93,7 +95,7 @@
     }
 
     /// Rents as many machines as there is capacity for.
-    pub fn rent(self: &Arc<Self>, rent: &wire_cloud::Rent) -> Vec<String> {
+    pub fn rent(self: &Arc<Self>, rent: &wire_cloud::RentRequest) -> Vec<String> {
         let mut names = Vec::new();
         for _ in 0..rent.count {
             if self.machines().len() >= self.capacity.load(Ordering::Relaxed) {
@@ -103,10 +105,10 @@
             let name = format!("host-{number:06}");
             let machine = Machine {
                 zone: rent.zone.clone(),
-                session: 1,
-                seq: 0,
-                token: 0,
-                report_now: false,
+                incarnation: 1,
+                sequence: 0,
+                fencing_token: 0,
+                heartbeat_now: false,
                 tasks: BTreeMap::new(),
             };
             self.machines().insert(name.clone(), machine);
@@ -144,13 +146,15 @@
     }
 
     /// Carries out orders that were sent directly.
-    fn take_direct_orders(&self, name: &str, direct: &DirectOrders) {
+    fn take_direct_orders(&self, name: &str, direct: &DirectCommands) {
         if let Some(machine) = self.machines().get_mut(name) {
-            machine.seq += 1;
-            if direct.token >= machine.token && direct.session == machine.session {
-                machine.report_now |= direct.token > machine.token;
-                machine.token = direct.token;
-                machine.carry_out(&direct.orders);
+            machine.sequence += 1;
+            if direct.fencing_token >= machine.fencing_token
+                && direct.incarnation == machine.incarnation
+            {
+                machine.heartbeat_now |= direct.fencing_token > machine.fencing_token;
+                machine.fencing_token = direct.fencing_token;
+                machine.carry_out(&direct.commands);
             }
         }
         self.changed.notify_waiters();
@@ -162,7 +166,7 @@
         let address = listener.local_addr()?;
         let (fleet, name) = (self.clone(), name.to_owned());
         let carry_out = move |body: Bytes| {
-            if let Ok(direct) = decode::<DirectOrders>(&body) {
+            if let Ok(direct) = decode::<DirectCommands>(&body) {
                 fleet.take_direct_orders(&name, &direct);
             }
             std::future::ready(StatusCode::OK)
@@ -173,10 +177,10 @@
     }
 
     /// Whether a higher token has come directly since the last report.
-    fn is_asked_to_report(&self, name: &str) -> bool {
+    fn is_asked_for_heartbeat(&self, name: &str) -> bool {
         let mut machines = self.machines();
         let machine = machines.get_mut(name);
-        machine.is_some_and(|machine| std::mem::take(&mut machine.report_now))
+        machine.is_some_and(|machine| std::mem::take(&mut machine.heartbeat_now))
     }
 
     /// One worker, until its machine is taken back.
@@ -187,15 +191,15 @@
         };
         let mut node = number as usize % self.nodes.len();
         // Reports of a fleet that was rented at once are spread evenly, without chance.
-        let phase = self.report_every.mul_f64((number % 97) as f64 / 97.0);
+        let phase = self.heartbeat_interval.mul_f64((number % 97) as f64 / 97.0);
         let mut last_tasks = 0;
         tokio::time::sleep(phase).await;
         loop {
             let sent = Instant::now();
-            let Some(report) = self.next_report(&name, address) else {
+            let Some(heartbeat) = self.next_heartbeat(&name, address) else {
                 return;
             };
-            let body = Some(encode(&report));
+            let body = Some(encode(&heartbeat));
             let front = self.nodes[node].1;
             let answer = http
                 .call(hyper::Method::POST, front, "/v1/report", body, PATIENCE)
@@ -203,43 +207,45 @@
             if let Ok(answer) = &answer
                 && answer.status == 200
             {
-                self.reports.fetch_add(1, Ordering::Relaxed);
+                self.heartbeats.fetch_add(1, Ordering::Relaxed);
                 let changed = self.take_orders(&name, answer);
                 last_tasks = self.pause(&name, sent, changed, last_tasks).await;
                 continue;
             }
-            tokio::time::sleep(REPORT_LEAST).await;
+            tokio::time::sleep(MIN_HEARTBEAT_INTERVAL).await;
             node = self.other_node(node, answer.ok().as_ref());
         }
     }
 
     /// What the worker reports now; none if its machine was taken back.
-    fn next_report(&self, name: &str, address: SocketAddr) -> Option<Report> {
+    fn next_heartbeat(&self, name: &str, address: SocketAddr) -> Option<Heartbeat> {
         let mut machines = self.machines();
         let machine = machines.get_mut(name)?;
         machine.advance();
-        Some(machine.report(name, address))
+        Some(machine.heartbeat(name, address))
     }
 
     /// Carries out the orders of an answer; whether there were any.
     fn take_orders(&self, name: &str, answer: &Answer) -> bool {
-        let Ok(orders) = decode::<Orders>(&answer.body) else {
+        let Ok(commands) = decode::<HeartbeatResponse>(&answer.body) else {
             return false;
         };
         let mut machines = self.machines();
         let machine = machines.get_mut(name);
-        let Some(machine) = machine.filter(|machine| orders.token >= machine.token) else {
+        let Some(machine) =
+            machine.filter(|machine| commands.fencing_token >= machine.fencing_token)
+        else {
             return false;
         };
-        machine.token = orders.token;
-        machine.carry_out(&orders.orders);
-        !orders.orders.is_empty()
+        machine.fencing_token = commands.fencing_token;
+        machine.carry_out(&commands.commands);
+        !commands.commands.is_empty()
     }
 
     /// The node that an answer names, or the next one.
     fn other_node(&self, node: usize, answer: Option<&Answer>) -> usize {
-        let elsewhere = answer.and_then(|answer| decode::<Elsewhere>(&answer.body).ok());
-        let named = elsewhere.and_then(|elsewhere| elsewhere.report_to);
+        let elsewhere = answer.and_then(|answer| decode::<LeaderRedirect>(&answer.body).ok());
+        let named = elsewhere.and_then(|elsewhere| elsewhere.leader);
         let known = self
             .nodes
             .iter()
@@ -257,13 +263,13 @@
             machine.tasks.len()
         };
         let due = match changed || tasks != last_tasks {
-            true => sent + REPORT_LEAST,
-            false => sent + self.report_every,
+            true => sent + MIN_HEARTBEAT_INTERVAL,
+            false => sent + self.heartbeat_interval,
         };
         while Instant::now() < due {
             let asked = self.changed.notified();
-            if self.is_asked_to_report(name) {
-                sleep_until(sent + REPORT_LEAST).await;
+            if self.is_asked_for_heartbeat(name) {
+                sleep_until(sent + MIN_HEARTBEAT_INTERVAL).await;
                 break;
             }
             let _ = tokio::time::timeout_at(due, asked).await;
@@ -287,10 +293,10 @@
         }
     }
 
-    fn carry_out(&mut self, orders: &[Order]) {
-        for order in orders {
-            match order {
-                Order::Start { task, attempt } => {
+    fn carry_out(&mut self, commands: &[WorkerCommand]) {
+        for command in commands {
+            match command {
+                WorkerCommand::Start { task, attempt } => {
                     let started = RunningTask {
                         state: TaskState::Fetching,
                         ends: Instant::now() + RUN_FOR,
@@ -299,32 +305,33 @@
                         .entry((task.clone(), *attempt))
                         .or_insert(started);
                 }
-                Order::Stop { task, attempt, .. } | Order::Forget { task, attempt } => {
+                WorkerCommand::Stop { task, attempt, .. }
+                | WorkerCommand::Forget { task, attempt } => {
                     self.tasks.remove(&(task.clone(), *attempt));
                 }
             }
         }
     }
 
-    fn report(&mut self, name: &str, address: SocketAddr) -> Report {
-        self.seq += 1;
+    fn heartbeat(&mut self, name: &str, address: SocketAddr) -> Heartbeat {
+        self.sequence += 1;
         let tasks = self.tasks.iter().map(|((task, attempt), it)| Task {
             task: task.clone(),
             attempt: *attempt,
             state: it.state,
-            why: (it.state == TaskState::Exited).then_some(Why::Done),
-            saved: None,
+            exit_reason: (it.state == TaskState::Exited).then_some(ExitReason::Completed),
+            checkpoint_saved: None,
         });
-        Report {
+        Heartbeat {
             machine: name.into(),
-            addr: address.to_string(),
+            address: address.to_string(),
             machine_type: crate::cloud::MACHINE_TYPE.into(),
             zone: self.zone.clone(),
             spot: false,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            preemption_notice_s: None,
             tasks: tasks.collect(),
         }
     }
--- a/src/api/bodies.rs
+++ b/src/api/bodies.rs
@@ -5,7 +5,7 @@
 //! reports, which keep tasks alive, still find room.
 
 use super::responses::{Answer, refuse, unavailable};
-use crate::constants as k;
+use crate::constants;
 use axum::body::Body;
 use axum::http::{HeaderValue, StatusCode};
 use http_body_util::BodyExt;
@@ -53,13 +53,13 @@
     pub fn new(bytes: usize) -> Self {
         BodyBudget {
             all: Arc::new(Semaphore::new(bytes)),
-            users: Arc::new(Semaphore::new(bytes / k::USER_BODIES_PART)),
+            users: Arc::new(Semaphore::new(bytes / constants::USER_BODY_DIVISOR)),
         }
     }
 
     /// Reads a body, or says what its sender is told instead.
     pub async fn read(&self, body: Body, sender: Sender) -> Result<ReceivedBody, Answer> {
-        let read = tokio::time::timeout(k::BODY_TIMEOUT, self.read_whole(body, sender));
+        let read = tokio::time::timeout(constants::BODY_TIMEOUT, self.read_whole(body, sender));
         let error = match read.await {
             Ok(Ok(body)) => return Ok(body),
             Ok(Err(error)) => error,
@@ -79,10 +79,10 @@
             length += data.len();
             // A little more is read than allowed, to tell "too long" from "can't be read"; it is
             // not kept.
-            if length > k::BODY_READ_MAX {
+            if length > constants::MAX_BODY_BYTES_READ {
                 return Err(BodyError::Unreadable);
             }
-            if length > k::BODY_MAX {
+            if length > constants::MAX_BODY_BYTES {
                 received = ReceivedBody::default();
                 continue;
             }
@@ -90,7 +90,7 @@
             received.bytes.extend_from_slice(&data);
         }
         match length {
-            0..=k::BODY_MAX => Ok(received),
+            0..=constants::MAX_BODY_BYTES => Ok(received),
             _ => Err(BodyError::TooLong),
         }
     }
--- a/src/api/bodies/tests.rs
+++ b/src/api/bodies/tests.rs
@@ -87,7 +87,7 @@
             }
         }
     }
-    let users_most = 512 * KIB / k::USER_BODIES_PART / (64 * KIB);
+    let users_most = 512 * KIB / constants::USER_BODY_DIVISOR / (64 * KIB);
     assert_eq!((held.len(), refused), (users_most, 20 - users_most));
     let report = budget.read(pieces(64, KIB), Sender::Worker).await;
     assert_eq!(report.unwrap().bytes.len(), 64 * KIB);
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -6,7 +6,7 @@
 use crate::engine::{self, Command, FinalRecord, JobRecord};
 use crate::peer::Message;
 use crate::store::{StoreCall, StoreError};
-use crate::wire::store::Txn;
+use crate::wire::store::Transaction;
 use crate::wire::user::JobState;
 use axum::http::StatusCode;
 
@@ -52,7 +52,7 @@
         let (commands, peers) = (self.commands.clone(), self.peers.clone());
         let job = id.to_owned();
         tokio::spawn(async move {
-            commands.send(Command::Cancelled((&*job).into())).await;
+            commands.send(Command::JobCancelled((&*job).into())).await;
             let said = Message::Cancelled { job };
             for peer in peers.iter() {
                 if let Err(e) = peer.exchange(&said).await {
@@ -66,9 +66,9 @@
 
 /// The transaction that cancels a job whose live record has that version; there is no `record` if
 /// it can't be read.
-fn cancellation(id: &str, record: Option<Box<JobRecord>>, version: u64, tasks: u64) -> Txn {
+fn cancellation(id: &str, record: Option<Box<JobRecord>>, version: u64, tasks: u64) -> Transaction {
     let live = engine::job_key(id);
-    let txn = Txn::default().when(&live, version);
+    let txn = Transaction::default().compare(&live, version);
     let txn = match record {
         Some(record) => {
             let record = record.cancelled();
--- a/src/api/limit.rs
+++ b/src/api/limit.rs
@@ -9,7 +9,7 @@
 //! under way. Past the limit, connections wait in the system's queue, where the load balancer
 //! passes them over.
 
-use crate::constants as k;
+use crate::constants;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -24,7 +24,7 @@
 /// The connections there may be.
 #[derive(Clone)]
 pub struct Connections {
-    slots: Arc<Semaphore>,
+    snapshots: Arc<Semaphore>,
     most: usize,
     /// A caller that has work to do here does not pause for longer.
     pause: Duration,
@@ -33,7 +33,7 @@
 impl Connections {
     pub fn new(most: usize, pause: Duration) -> Self {
         Connections {
-            slots: Arc::new(Semaphore::new(most)),
+            snapshots: Arc::new(Semaphore::new(most)),
             most,
             pause,
         }
@@ -46,7 +46,7 @@
 
     /// Whether so many are open that none should stay open between requests.
     pub fn crowded(&self) -> bool {
-        self.slots.available_permits() < self.most / k::SPARE_CONNECTIONS
+        self.snapshots.available_permits() < self.most / constants::SPARE_CONNECTIONS_DIVISOR
     }
 }
 
@@ -67,7 +67,7 @@
 
     async fn accept(&mut self) -> (Limited, SocketAddr) {
         loop {
-            let slot = self.connections.slots.clone().acquire_owned().await;
+            let slot = self.connections.snapshots.clone().acquire_owned().await;
             // axum's own accept waits and tries again after an error, such as no free socket.
             let (stream, addr) = axum::serve::Listener::accept(&mut self.inner).await;
             let _ = stream.set_nodelay(true);
--- a/src/api/limit/tests.rs
+++ b/src/api/limit/tests.rs
@@ -12,7 +12,7 @@
     let mut listener = LimitedListener::new(inner, connections.clone());
     let mut caller = TcpStream::connect(addr).await.unwrap();
     let (mut served, _) = listener.accept().await;
-    assert!(connections.slots.available_permits() == 0);
+    assert!(connections.snapshots.available_permits() == 0);
     let begun = Instant::now();
     for _ in 0..3 {
         caller.write_all(b"x").await.unwrap();
@@ -24,5 +24,5 @@
     assert_eq!(error.kind(), io::ErrorKind::TimedOut);
     assert!(begun.elapsed() >= pause * 5 / 2, "not while it was used");
     drop(served);
-    assert_eq!(connections.slots.available_permits(), 1);
+    assert_eq!(connections.snapshots.available_permits(), 1);
 }
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -4,7 +4,7 @@
 use crate::engine::{self, Command, FinalRecord, JobRecord, Reply};
 use crate::model::JobId;
 use crate::peer::Message;
-use crate::store::{Record, StoreCall, StoreError, StoreReply, Urgency};
+use crate::store::{CallPriority, Record, StoreCall, StoreError, StoreReply};
 use crate::wire::user::{JobState, JobStatus};
 
 /// A job as the state service has it.
@@ -25,7 +25,7 @@
 impl Api {
     /// A call to the state service on behalf of a user.
     pub(super) async fn call(&self, call: StoreCall) -> Result<StoreReply, StoreError> {
-        self.store.call(&call, Urgency::User).await
+        self.store.call(&call, CallPriority::User).await
     }
 
     /// What is known of a job, by a fresh read. The live record is read first: a job moves from
@@ -61,7 +61,7 @@
     async fn look_up_final(&self, id: &str) -> Result<StoredJob, StoreError> {
         match self.store.get_record(engine::final_key(id)).await? {
             None => Ok(StoredJob::Never),
-            Some(Record::Unreadable { .. }) => Err(StoreError::Bad(format!(
+            Some(Record::Unreadable { .. }) => Err(StoreError::Malformed(format!(
                 "final record of {id} can't be read"
             ))),
             Some(Record::Read {
@@ -119,32 +119,32 @@
         Ok(Some(JobStatus {
             id: id.into(),
             state,
-            done: Some(done),
-            running: Some(running),
+            completed_tasks: Some(done),
+            running_tasks: Some(running),
         }))
     }
 
     /// The state of a job whose record says that it waits for others: cancelled if one of them is,
     /// by changes read after the question came.
     async fn waiting_state(&self, id: &str, tasks: u64) -> Result<JobState, StoreError> {
-        let ask = |reply| Command::Step {
+        let ask = |reply| Command::QueryBlockedJob {
             job: id.into(),
             reply,
         };
         match self.commands.ask(ask).await {
-            Some(Reply::Step(Some(state))) => {
+            Some(Reply::BlockedJobState(Some(state))) => {
                 if state == JobState::Cancelled {
                     self.remember(id, state, tasks);
                 }
                 Ok(state)
             }
             // Since its record was read it has begun, or is over.
-            Some(Reply::Step(None)) => match self.look_up(id).await? {
+            Some(Reply::BlockedJobState(None)) => match self.look_up(id).await? {
                 StoredJob::Open { record, .. } if !record.waits() => Ok(JobState::Queued),
                 StoredJob::Final(state, _) => Ok(state),
-                _ => Err(StoreError::Refused("changing".into())),
+                _ => Err(StoreError::NotExecuted("changing".into())),
             },
-            _ => Err(StoreError::Refused("changes can't be read".into())),
+            _ => Err(StoreError::NotExecuted("changes can't be read".into())),
         }
     }
 
@@ -153,12 +153,12 @@
     async fn counts(&self, id: &str) -> (u64, u64) {
         let view = self.view.borrow().clone();
         if view.leading {
-            let count = |reply| Command::Count {
+            let count = |reply| Command::CountTasks {
                 job: JobId::from(id),
                 reply,
             };
-            if let Some(Reply::Counts { done, running }) = self.commands.ask(count).await {
-                return (done, running);
+            if let Some(Reply::TaskCounts { completed, running }) = self.commands.ask(count).await {
+                return (completed, running);
             }
         }
         let link = self
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -19,16 +19,16 @@
 pub use limit::Connections;
 pub use server::serve;
 
-use crate::constants as k;
-use crate::engine::{Command, Reply, View};
+use crate::bounded_map::BoundedMap;
+use crate::constants;
+use crate::engine::{Command, EngineStatus, Reply};
 use crate::node::Commands;
 use crate::peer::Link;
-use crate::recent::Recent;
 use crate::settings::Settings;
 use crate::store::{StoreClient, StoreError};
+use crate::wire::decode;
 use crate::wire::user::{self, JobState};
-use crate::wire::worker::{Elsewhere, Report};
-use crate::wire::{DecodeError, decode};
+use crate::wire::worker::{Heartbeat, LeaderRedirect};
 use axum::Router;
 use axum::body::Body;
 use axum::extract::{DefaultBodyLimit, Path, State};
@@ -45,10 +45,10 @@
     pub settings: Arc<Settings>,
     pub store: Arc<StoreClient>,
     pub commands: Commands,
-    pub view: watch::Receiver<View>,
+    pub view: watch::Receiver<EngineStatus>,
     pub peers: Arc<Vec<Link>>,
     /// Final states seen here: they never change, so they need no fresh read.
-    finals: Mutex<Recent<String, (JobState, u64)>>,
+    finals: Mutex<BoundedMap<String, (JobState, u64)>>,
     /// For users' requests at once.
     calls: Semaphore,
     /// For the bodies of requests at once.
@@ -62,7 +62,7 @@
         settings: Arc<Settings>,
         store: Arc<StoreClient>,
         commands: Commands,
-        view: watch::Receiver<View>,
+        view: watch::Receiver<EngineStatus>,
         peers: Arc<Vec<Link>>,
     ) -> Arc<Self> {
         let bodies = BodyBudget::new(settings.body_budget());
@@ -73,9 +73,9 @@
             commands,
             view,
             peers,
-            finals: Mutex::new(Recent::new(k::FINAL_CACHE)),
-            calls: Semaphore::new(k::USER_CALLS),
-            notifications: Arc::new(Semaphore::new(k::TELLING)),
+            finals: Mutex::new(BoundedMap::new(constants::FINAL_STATE_CACHE_ENTRIES)),
+            calls: Semaphore::new(constants::MAX_USER_CALLS),
+            notifications: Arc::new(Semaphore::new(constants::MAX_CANCELLATION_NOTICES)),
         })
     }
 
@@ -93,7 +93,7 @@
             .route("/submissions/{id}", get(poll))
             .route("/submissions/{id}/cancel", post(cancel))
             .route("/ready", get(ready))
-            .route("/v1/report", post(report))
+            .route("/v1/report", post(heartbeat))
             .layer(DefaultBodyLimit::disable())
             .layer(map_response(close_if_crowded))
             .with_state(self)
@@ -108,10 +108,10 @@
         let Ok(_permit) = self.calls.try_acquire() else {
             return unavailable("busy");
         };
-        match tokio::time::timeout(k::USER_TIMEOUT, work).await {
+        match tokio::time::timeout(constants::USER_TIMEOUT, work).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(e)) => {
-                if let StoreError::Bad(why) = &e {
+                if let StoreError::Malformed(why) = &e {
                     tracing::error!("{why}");
                 }
                 unavailable("the state service can't be asked")
@@ -137,14 +137,14 @@
 }
 
 async fn poll(State(api): State<Arc<Api>>, Path(id): Path<String>) -> Answer {
-    if !user::valid_id(&id) {
+    if !user::is_valid_id(&id) {
         return refuse(StatusCode::NOT_FOUND, "no such job");
     }
     api.bounded(api.poll(&id)).await
 }
 
 async fn cancel(State(api): State<Arc<Api>>, Path(id): Path<String>) -> Answer {
-    if !user::valid_id(&id) {
+    if !user::is_valid_id(&id) {
         return refuse(StatusCode::NOT_FOUND, "no such job");
     }
     api.bounded(api.cancel(&id)).await
@@ -161,25 +161,25 @@
     }
 }
 
-async fn report(State(api): State<Arc<Api>>, body: Body) -> Answer {
+async fn heartbeat(State(api): State<Arc<Api>>, body: Body) -> Answer {
     let body = match api.bodies.read(body, Sender::Worker).await {
         Ok(body) => body,
         Err(refusal) => return refusal,
     };
-    let report: Report = match decode(&body.bytes) {
-        Ok(report) => report,
-        Err(e @ (DecodeError::NotAMap | DecodeError::Invalid(_))) => {
+    let heartbeat: Heartbeat = match decode(&body.bytes) {
+        Ok(heartbeat) => heartbeat,
+        Err(e) => {
             return refuse(StatusCode::BAD_REQUEST, &e.to_string());
         }
     };
     match api
         .commands
-        .ask(|reply| Command::Report { report, reply })
+        .ask(|reply| Command::Heartbeat { heartbeat, reply })
         .await
     {
-        Some(Reply::Orders(orders)) => answer(StatusCode::OK, &orders),
-        Some(Reply::Elsewhere(report_to)) => {
-            answer(StatusCode::MISDIRECTED_REQUEST, &Elsewhere { report_to })
+        Some(Reply::HeartbeatAccepted(commands)) => answer(StatusCode::OK, &commands),
+        Some(Reply::RedirectToLeader(leader)) => {
+            answer(StatusCode::MISDIRECTED_REQUEST, &LeaderRedirect { leader })
         }
         _ => unavailable("no right to act"),
     }
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -1,6 +1,6 @@
 //! Building responses.
 
-use crate::constants as k;
+use crate::constants;
 use crate::wire::{encode, user};
 use axum::body::Body;
 use axum::http::{HeaderValue, Response, StatusCode};
@@ -31,6 +31,6 @@
     let mut response = refuse(StatusCode::SERVICE_UNAVAILABLE, why);
     response
         .headers_mut()
-        .insert("retry-after", k::RETRY_AFTER_S.into());
+        .insert("retry-after", constants::RETRY_AFTER_S.into());
     response
 }
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,7 +1,7 @@
 //! Accepts connections on `front` and serves HTTP on them, with bounded memory for each.
 
 use super::limit::{Connections, LimitedListener};
-use crate::constants as k;
+use crate::constants;
 use axum::Router;
 use axum::serve::Listener;
 use hyper::server::conn::http1;
@@ -17,7 +17,7 @@
     // a byte now and then would keep its connection for ever.
     http.timer(TokioTimer::new())
         .header_read_timeout(connections.pause())
-        .max_buf_size(k::CONNECTION_BUFFER);
+        .max_buf_size(constants::CONNECTION_BUFFER_BYTES);
     let mut listener = LimitedListener::new(listener, connections);
     loop {
         let (stream, _) = listener.accept().await;
--- a/src/api/server/tests.rs
+++ b/src/api/server/tests.rs
@@ -50,7 +50,7 @@
     let (addr, _) = served().await;
     let mut caller = TcpStream::connect(addr).await.unwrap();
     let mut head = b"GET / HTTP/1.1\r\nx: ".to_vec();
-    head.resize(3 * k::CONNECTION_BUFFER, b'y');
+    head.resize(3 * constants::CONNECTION_BUFFER_BYTES, b'y');
     // The connection may be closed before all is written.
     let _ = caller.write_all(&head).await;
     let mut answer = Vec::new();
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -3,15 +3,15 @@
 use super::Api;
 use super::lookup::StoredJob;
 use super::responses::{Answer, answer, refuse, unavailable};
-use crate::constants as k;
+use crate::constants;
 use crate::engine::{self, Command, JobRecord, Reply};
-use crate::model::{JobId, Spec, Types};
-use crate::node::wall_ms;
+use crate::model::{JobId, JobSpec, MachineTypes};
+use crate::node::unix_time_ms;
 use crate::settings::Settings;
 use crate::store::{StoreCall, StoreError};
 use crate::wire::decode;
-use crate::wire::store::Txn;
-use crate::wire::user::{self, JobState, JobStatus, Kind};
+use crate::wire::store::Transaction;
+use crate::wire::user::{self, JobKind, JobState, JobStatus};
 use axum::http::StatusCode;
 use rmpv::Value;
 
@@ -21,13 +21,13 @@
             Ok(job) => job,
             Err(why) => return self.refuse_malformed(body, &why).await,
         };
-        let record = JobRecord::new(job, wall_ms());
+        let record = JobRecord::new(job, unix_time_ms());
         let value = engine::job_value(&record);
-        if engine::json_size(&value) + k::RECORD_SPARE > self.settings.value_max() {
+        if engine::json_size(&value) + constants::RECORD_SPARE_BYTES > self.settings.value_max() {
             let why = "models and awaits: too long together";
             return self.refuse_malformed(body, why).await;
         }
-        let Some(types) = self.view.borrow().types.clone() else {
+        let Some(types) = self.view.borrow().machine_types.clone() else {
             return Ok(unavailable("machine types are not known yet"));
         };
         let id = &record.job.id;
@@ -47,8 +47,8 @@
     /// Why a well-formed job is refused, if it is.
     async fn reason_to_refuse(
         &self,
-        job: &user::Job,
-        types: &Types,
+        job: &user::JobSubmission,
+        types: &MachineTypes,
     ) -> Result<Option<String>, StoreError> {
         match can_run(job, &self.settings, types) {
             Err(why) => Ok(Some(why)),
@@ -59,14 +59,17 @@
     /// Writes the record unless the job was accepted before.
     async fn store_submission(&self, id: &str, value: Value) -> Result<Answer, StoreError> {
         let (live, last) = (engine::job_key(id), engine::final_key(id));
-        let txn = Txn::default().when(&live, 0).when(last, 0).put(live, value);
+        let txn = Transaction::default()
+            .compare(&live, 0)
+            .compare(last, 0)
+            .put(live, value);
         match self.call(StoreCall::Commit(txn)).await {
             Ok(_) => {
                 let status = JobStatus {
                     id: id.to_owned(),
                     state: JobState::Queued,
-                    done: None,
-                    running: None,
+                    completed_tasks: None,
+                    running_tasks: None,
                 };
                 Ok(answer(StatusCode::CREATED, &status))
             }
@@ -86,7 +89,7 @@
             uid: String,
         }
         if let Ok(named) = decode::<Named>(body)
-            && user::valid_id(&named.uid)
+            && user::is_valid_id(&named.uid)
         {
             match self.look_up(&named.uid).await? {
                 StoredJob::Never => {}
@@ -107,20 +110,23 @@
 
     /// Why a job can't wait for what it awaits, if it names itself or one never accepted. One that
     /// was accepted stays so: what the engine knows needs no fresh read.
-    async fn reason_to_refuse_awaits(&self, job: &user::Job) -> Result<Option<String>, StoreError> {
-        if job.awaits.contains(&job.id) {
+    async fn reason_to_refuse_awaits(
+        &self,
+        job: &user::JobSubmission,
+    ) -> Result<Option<String>, StoreError> {
+        if job.depends_on.contains(&job.id) {
             return Ok(Some("awaits: names the job itself".into()));
         }
-        if job.awaits.is_empty() {
+        if job.depends_on.is_empty() {
             return Ok(None);
         }
-        let jobs: Vec<JobId> = job.awaits.iter().map(|id| (&**id).into()).collect();
-        let named = |reply| Command::Named {
+        let jobs: Vec<JobId> = job.depends_on.iter().map(|id| (&**id).into()).collect();
+        let named = |reply| Command::FindUnknownJobs {
             jobs: jobs.clone(),
             reply,
         };
         let unknown = match self.commands.ask(named).await {
-            Some(Reply::NotKnown(unknown)) => unknown,
+            Some(Reply::UnknownJobs(unknown)) => unknown,
             _ => jobs.clone(),
         };
         for id in unknown {
@@ -140,36 +146,40 @@
 }
 
 /// Reads and checks the body of a submission; the error says what is wrong with it.
-fn read_job(body: &[u8]) -> Result<user::Job, String> {
-    let job = decode::<user::Job>(body).map_err(|e| e.to_string())?;
-    job.check()?;
+fn read_job(body: &[u8]) -> Result<user::JobSubmission, String> {
+    let job = decode::<user::JobSubmission>(body).map_err(|e| e.to_string())?;
+    job.validate().map_err(|e| e.to_string())?;
     Ok(job)
 }
 
 /// Whether the job could ever run: its team exists, a task fits an allowed machine type, and
 /// the least it needs at once is within the team's limit.
-fn can_run(job: &user::Job, settings: &Settings, types: &Types) -> Result<(), String> {
+fn can_run(
+    job: &user::JobSubmission,
+    settings: &Settings,
+    types: &MachineTypes,
+) -> Result<(), String> {
     let Some(team) = settings.team(&job.team) else {
         return Err(format!("crew: no team {:?}", job.team));
     };
-    let spec = Spec::read(job);
+    let spec = JobSpec::from(job);
     let fits = types.values().any(|t| {
         let zone_ok = t
             .zones
             .iter()
             .any(|zone| spec.zone.as_ref().is_none_or(|z| z == zone));
         let type_ok = spec
-            .types
+            .machine_types
             .as_ref()
             .is_none_or(|names| names.contains(&t.name));
-        zone_ok && type_ok && spec.need.fits_in(t.size)
+        zone_ok && type_ok && spec.request.fits_in(t.capacity)
     });
     if !fits {
         return Err("a task fits no allowed machine type".into());
     }
-    let least = spec.least();
+    let least = spec.min_request();
     if !team.limit().holds(least) {
-        let what = if job.kind == Kind::Array {
+        let what = if job.kind == JobKind::Array {
             "a task"
         } else {
             "the job"
--- a/src/recent.rs
+++ b/src/bounded_map.rs
@@ -4,16 +4,16 @@
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Debug)]
-pub struct Recent<K, V> {
+pub struct BoundedMap<K, V> {
     most: usize,
     values: BTreeMap<K, V>,
     /// Oldest first.
     order: VecDeque<K>,
 }
 
-impl<K: Ord + Clone, V> Recent<K, V> {
+impl<K: Ord + Clone, V> BoundedMap<K, V> {
     pub fn new(most: usize) -> Self {
-        Recent {
+        BoundedMap {
             most,
             values: BTreeMap::new(),
             order: VecDeque::new(),
--- a/src/recent/tests.rs
+++ b/src/bounded_map/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn the_oldest_is_dropped() {
-    let mut recent = Recent::new(2);
+    let mut recent = BoundedMap::new(2);
     for id in ["a", "b", "b", "c"] {
         recent.insert(id, 1);
     }
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,9 +1,9 @@
 //! The cloud: the calls there are, and the client that carries them out within its limit.
 
-use crate::constants as k;
+use crate::constants;
 use crate::http::{Answer, CallError, HttpClient};
+use crate::rate_limit::TokenBucket;
 use crate::settings::Settings;
-use crate::tokens::TokenBucket;
 use crate::wire::cloud as w;
 use crate::wire::{decode, encode};
 use hyper::Method;
@@ -13,18 +13,29 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudCall {
-    Types,
-    Rent(w::Rent),
+    /// Reads the machine types.
+    ListMachineTypes,
+    /// Rents machines.
+    Rent(w::RentRequest),
+    /// Returns the machines with these names.
     Return(Vec<String>),
-    List { after: Option<String> },
+    /// Reads a page of the machine list.
+    ListMachines {
+        /// The last machine of the page before; none for the first page.
+        after: Option<String>,
+    },
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
-    Types(w::MachineTypes),
+    /// All machine types.
+    MachineTypes(w::MachineTypeList),
+    /// Names of the machines that were rented.
     Rented(Vec<String>),
+    /// The machines, and everything on them, are gone.
     Returned,
-    Listed(w::MachineList),
+    /// A page of the machine list.
+    MachinePage(w::MachinePage),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -51,7 +62,7 @@
             addr: settings.services.cloud,
             calls: Mutex::new(TokenBucket::new(
                 settings.cluster.cloud.rps,
-                k::CLOUD_BURST_S,
+                constants::CLOUD_BURST_S,
             )),
             started: Instant::now(),
         }
@@ -61,7 +72,7 @@
         // A return proves tasks gone that have to run elsewhere: it finds a token first.
         let reserve = match call {
             CloudCall::Return(_) => 0.0,
-            _ => k::RATE_RESERVE,
+            _ => constants::RESERVED_RATE_SHARE,
         };
         loop {
             let wait = {
@@ -74,26 +85,29 @@
             }
         }
         let (method, path, body) = match call {
-            CloudCall::Types => (Method::GET, "/flavors".into(), None),
+            CloudCall::ListMachineTypes => (Method::GET, "/flavors".into(), None),
             CloudCall::Rent(rent) => (Method::POST, "/machines".into(), Some(encode(rent))),
             CloudCall::Return(machines) => (
                 Method::POST,
                 "/machines/return".into(),
-                Some(encode(&w::Machines {
+                Some(encode(&w::MachineNames {
                     machines: machines.clone(),
                 })),
             ),
-            CloudCall::List { after } => {
+            CloudCall::ListMachines { after } => {
                 let after = after
                     .as_ref()
                     .map_or(String::new(), |a| format!("after={a}&"));
-                let path = format!("/machines?{after}page={}", k::MACHINE_PAGE);
+                let path = format!(
+                    "/machines?{after}page={}",
+                    constants::MACHINE_LIST_PAGE_ITEMS
+                );
                 (Method::GET, path, None)
             }
         };
         let answer = self
             .http
-            .call(method, self.addr, &path, body, k::CLOUD_TIMEOUT)
+            .call(method, self.addr, &path, body, constants::CLOUD_TIMEOUT)
             .await
             .map_err(|e: CallError| CloudError::Failed(e.to_string()))?;
         read(call, &answer)
@@ -120,9 +134,11 @@
         )));
     }
     match call {
-        CloudCall::Types => Ok(CloudReply::Types(body(answer)?)),
-        CloudCall::Rent(_) => Ok(CloudReply::Rented(body::<w::Machines>(answer)?.machines)),
+        CloudCall::ListMachineTypes => Ok(CloudReply::MachineTypes(body(answer)?)),
+        CloudCall::Rent(_) => Ok(CloudReply::Rented(
+            body::<w::MachineNames>(answer)?.machines,
+        )),
         CloudCall::Return(_) => Ok(CloudReply::Returned),
-        CloudCall::List { .. } => Ok(CloudReply::Listed(body(answer)?)),
+        CloudCall::ListMachines { .. } => Ok(CloudReply::MachinePage(body(answer)?)),
     }
 }
--- a/src/engine/provisioning/consolidation.rs
+++ b/src/engine/autoscaling/consolidation.rs
@@ -1,11 +1,11 @@
 //! Consolidation: replicas of services on half-empty machines are moved together, so that machines
 //! can be returned.
 
-use crate::constants as k;
+use crate::constants;
 use crate::engine::{Engine, Leader};
-use crate::model::{Machine, MachineId, Placement, Resources, Spec, Stage, TaskId};
+use crate::model::{JobSpec, Machine, MachineId, Placement, PlacementStage, Resources, TaskId};
 use crate::placement::consolidation::{self, Drainable};
-use crate::wire::user::Kind;
+use crate::wire::user::JobKind;
 use crate::wire::worker::TaskState;
 
 impl Engine {
@@ -13,22 +13,22 @@
     /// replicas are stopped and placed anew like any others.
     pub(in crate::engine) fn consolidate_when_due(&mut self) {
         let now = self.now;
-        let due = |l: &Leader| now >= l.provisioning.next_consolidation_at;
+        let due = |l: &Leader| now >= l.autoscaling.next_consolidation_at;
         // What goes over all machines comes last: this is asked at every step.
         if !self.leader().is_some_and(due)
             || !self.holds_valid_lease()
-            || self.awaits_first_reports()
+            || self.awaits_first_heartbeats()
         {
             return;
         }
-        let Some(provisioning) = self.leader_mut().map(|l| &mut l.provisioning) else {
+        let Some(autoscaling) = self.leader_mut().map(|l| &mut l.autoscaling) else {
             return;
         };
-        provisioning.next_consolidation_at = now + k::CONSOLIDATE_EVERY_MS;
-        if !provisioning.demand.is_empty() {
+        autoscaling.next_consolidation_at = now + constants::CONSOLIDATION_INTERVAL_MS;
+        if !autoscaling.demand.is_empty() {
             return;
         }
-        self.refresh_slots();
+        self.refresh_snapshots();
         let Some(id) = self.machine_to_drain() else {
             return;
         };
@@ -48,8 +48,8 @@
         let candidates: Vec<Drainable<'_>> = leader
             .machines
             .values()
-            .filter(|machine| machine.takes_tasks() && !machine.tasks.is_empty())
-            .filter(|machine| !leader.provisioning.reserved.contains(&machine.id))
+            .filter(|machine| machine.accepts_tasks() && !machine.tasks.is_empty())
+            .filter(|machine| !leader.autoscaling.reserved.contains(&machine.id))
             .filter_map(|machine| self.as_drainable(machine))
             .collect();
         consolidation::choose(&candidates, &leader.machines.ready(Resources::default()))
@@ -58,14 +58,16 @@
     /// The machine with its replicas, if it holds nothing else and all of them have run for a while.
     fn as_drainable(&self, machine: &Machine) -> Option<Drainable<'_>> {
         let settled = |placement: &Placement| {
-            matches!(placement.stage, Stage::Up(TaskState::Running))
-                && placement.stop.is_none()
-                && self.now >= placement.since + k::SETTLED_MS
+            matches!(
+                placement.stage,
+                PlacementStage::Reported(TaskState::Running)
+            ) && placement.stop_request.is_none()
+                && self.now >= placement.stage_since + constants::MIN_RUN_BEFORE_PREEMPTION_MS
         };
-        let replica = |task: &TaskId| -> Option<&Spec> {
+        let replica = |task: &TaskId| -> Option<&JobSpec> {
             let job = self.jobs.get(&task.job).filter(|job| job.is_open())?;
-            let placement = job.live.get(&task.index)?;
-            (job.spec.kind == Kind::Service && settled(placement)).then_some(&job.spec)
+            let placement = job.placements.get(&task.index)?;
+            (job.spec.kind == JobKind::Service && settled(placement)).then_some(&job.spec)
         };
         Some(Drainable {
             machine: machine.id.clone(),
--- a/src/engine/provisioning/housekeeping.rs
+++ b/src/engine/autoscaling/housekeeping.rs
@@ -1,7 +1,7 @@
 //! Housekeeping: a regular pass over the fleet that decides which machines are returned and which
 //! tasks save because their machine will be reclaimed.
 
-use crate::constants as k;
+use crate::constants;
 use crate::engine::{Engine, Leader};
 use crate::model::{Machine, MachineId, MachinePhase, Ms, TaskId};
 
@@ -51,22 +51,22 @@
     /// idle.
     pub(in crate::engine) fn housekeep_machines_when_due(&mut self) {
         let now = self.now;
-        let Some(provisioning) = self.leader_mut().map(|l| &mut l.provisioning) else {
+        let Some(autoscaling) = self.leader_mut().map(|l| &mut l.autoscaling) else {
             return;
         };
-        if now < provisioning.next_housekeeping_at {
+        if now < autoscaling.next_housekeeping_at {
             return;
         }
-        provisioning.next_housekeeping_at = now + k::HOUSEKEEPING_EVERY_MS;
+        autoscaling.next_housekeeping_at = now + constants::HOUSEKEEPING_INTERVAL_MS;
         self.note_cut_off_zones();
         if self.has_lost_contact_with_workers() {
             self.step_down("most workers can't be heard");
-            self.campaign.at = now + k::HAND_OVER_MS;
+            self.campaign.at = now + constants::CAMPAIGN_PAUSE_AFTER_HANDOVER_MS;
             return;
         }
         let inspection = self.inspect_machines();
         self.mark_returning(&inspection.to_return);
-        self.return_machines();
+        self.scale_in();
         self.stop_tasks_before_reclaim(inspection.on_reclaimed);
     }
 
@@ -78,7 +78,7 @@
                 continue;
             }
             if let Some(leader) = self.leader_mut() {
-                let zones = &mut leader.provisioning.cut_off_zones;
+                let zones = &mut leader.autoscaling.cut_off_zones;
                 zones.insert(zone.as_str().into(), now);
             }
         }
@@ -91,14 +91,14 @@
         let Some(leader) = self.leader() else {
             return false;
         };
-        let quiet_ms = 2 * self.timing.report + k::SAFETY_MARGIN_MS;
+        let quiet_ms = 2 * self.timing.heartbeat_interval + constants::SAFETY_MARGIN_MS;
         let (mut up, mut heard) = (0, 0);
         for machine in leader.machines.values() {
             if machine.phase != MachinePhase::Up {
                 continue;
             }
             up += 1;
-            if self.now.saturating_sub(machine.seen) <= quiet_ms {
+            if self.now.saturating_sub(machine.last_confirmed_at) <= quiet_ms {
                 heard += 1;
             }
         }
@@ -116,7 +116,7 @@
                 tracing::info!(machine = %machine.id, why, "returning machine");
                 inspection.to_return.push(machine.id.clone());
             }
-            if let Some(at) = machine.taken_at {
+            if let Some(at) = machine.preemption_at {
                 let left_ms = at.saturating_sub(self.now);
                 let tasks = machine.tasks.iter().map(|task| (task.clone(), left_ms));
                 inspection.on_reclaimed.extend(tasks);
@@ -128,14 +128,14 @@
     fn reason_to_return(&self, leader: &Leader, machine: &Machine) -> Option<ReturnReason> {
         let since = |at: Ms| self.now.saturating_sub(at);
         let silent = self.is_silent(leader, machine);
-        let overdue = since(machine.rented) > self.boot_patience(machine);
-        let past_notice = machine.taken_at.is_some_and(|at| self.now > at);
-        let unreported = since(machine.seen) > self.timing.report;
+        let overdue = since(machine.rented_at) > self.boot_patience(machine);
+        let past_notice = machine.preemption_at.is_some_and(|at| self.now > at);
+        let unreported = since(machine.last_confirmed_at) > self.timing.heartbeat_interval;
         match machine.phase {
             MachinePhase::Booting if silent && !machine.tasks.is_empty() => {
                 Some(ReturnReason::Silent)
             }
-            MachinePhase::Booting if silent && !machine.vouched => {
+            MachinePhase::Booting if silent && !machine.confirmed_by_cloud => {
                 Some(ReturnReason::NeverAnswered)
             }
             // After a take-over every machine is new to this leader, however long it has been
@@ -162,15 +162,18 @@
         // stead: its machines' silence counts from the end of the cut, or from the end of
         // the longest time for which a node may do so. (Counted from their last report,
         // the whole zone was returned the moment the cut ended.)
-        let cut_off_zones = &leader.provisioning.cut_off_zones;
+        let cut_off_zones = &leader.autoscaling.cut_off_zones;
         let cut_off = cut_off_zones.get(&machine.zone).copied().unwrap_or(0);
-        let excused_until = cut_off.min(machine.seen + self.timing.grace);
-        let unheard_ms = self.now.saturating_sub(machine.seen.max(excused_until));
+        let excused_until = cut_off.min(machine.last_confirmed_at + self.timing.leader_grace);
+        let unheard_ms = self
+            .now
+            .saturating_sub(machine.last_confirmed_at.max(excused_until));
         // One that reports although nothing proves that it hears us is given its next report.
-        let reports = self.now.saturating_sub(machine.received) <= self.timing.on_time;
+        let reports =
+            self.now.saturating_sub(machine.last_heartbeat_at) <= self.timing.heartbeat_deadline;
         let patience_ms = match reports {
-            true => self.timing.silent + self.timing.on_time,
-            false => self.timing.silent,
+            true => self.timing.machine_timeout + self.timing.heartbeat_deadline,
+            false => self.timing.machine_timeout,
         };
         unheard_ms > patience_ms
     }
@@ -178,8 +181,10 @@
     /// How long a machine may take to come up, ms.
     fn boot_patience(&self, machine: &Machine) -> Ms {
         let machine_type = self.machine_type(&machine.machine_type);
-        let patience_ms = machine_type.map_or(0, |t| (t.boot_ms as f64 * k::BOOT_PATIENCE) as u64);
-        patience_ms.max(k::BOOT_PATIENCE_MIN_MS)
+        let patience_ms = machine_type.map_or(0, |t| {
+            (t.boot_ms as f64 * constants::BOOT_TIMEOUT_FACTOR) as u64
+        });
+        patience_ms.max(constants::MIN_BOOT_TIMEOUT_MS)
     }
 
     /// Whether a machine is idle for longer than the operators allow, no expected job would use it,
@@ -187,11 +192,11 @@
     fn is_surplus(&self, leader: &Leader, machine: &Machine) -> bool {
         let idle_limit_ms = (self.settings.operator.idle_s * 1000.0) as u64;
         let idle_ms = self.now.saturating_sub(machine.idle_since);
-        let held_ms = self.now.saturating_sub(machine.rented);
+        let held_ms = self.now.saturating_sub(machine.rented_at);
         machine.is_empty()
-            && !leader.provisioning.reserved.contains(&machine.id)
+            && !leader.autoscaling.reserved.contains(&machine.id)
             && idle_ms > idle_limit_ms
-            && held_ms > k::MIN_CHARGE_MS
+            && held_ms > constants::MIN_CHARGED_MS
     }
 
     fn mark_returning(&mut self, machines: &[MachineId]) {
@@ -211,12 +216,12 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let save_ms = (job.spec.grace_s() + 1) * 1000;
-            if left_ms > save_ms + k::SAFETY_MARGIN_MS || !job.is_open() {
+            let save_ms = (job.spec.checkpoint_grace_s() + 1) * 1000;
+            if left_ms > save_ms + constants::SAFETY_MARGIN_MS || !job.is_open() {
                 continue;
             }
-            let placement = job.live.get(&task.index);
-            let stopping = placement.is_none_or(|p| p.stop.is_some());
+            let placement = job.placements.get(&task.index);
+            let stopping = placement.is_none_or(|p| p.stop_request.is_some());
             if !stopping {
                 self.stop_task(&task);
             }
--- a/src/engine/provisioning/machine_list.rs
+++ b/src/engine/autoscaling/machine_list.rs
@@ -1,24 +1,24 @@
 //! The cloud's list of machines: finds machines that no answer of a rental told of, and those that
 //! have failed.
 
-use super::Provisioning;
+use super::Autoscaling;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
-use crate::constants as k;
-use crate::engine::{Engine, Leader, Op, Role};
+use crate::constants;
+use crate::engine::{Engine, Leader, PendingCall, Role};
 use crate::model::{Machine, MachineId, MachinePhase, Ms};
-use crate::wire::cloud::{ListedMachine, MachineList, MachineState};
+use crate::wire::cloud::{ListedMachine, MachinePage, MachineState};
 
 impl Engine {
     /// Asks the cloud for the next page of its list, if that is due.
     pub(super) fn list_machines_when_due(&mut self) {
         let now = self.now;
-        let Some(provisioning) = self.leader_mut().map(|l| &mut l.provisioning) else {
+        let Some(autoscaling) = self.leader_mut().map(|l| &mut l.autoscaling) else {
             return;
         };
-        if provisioning.list.due(now) {
-            provisioning.list.busy = true;
-            let after = provisioning.list_cursor.clone();
-            self.cloud(Op::Machines, CloudCall::List { after });
+        if autoscaling.list.due(now) {
+            autoscaling.list.busy = true;
+            let after = autoscaling.list_cursor.clone();
+            self.call_cloud(PendingCall::ListMachines, CloudCall::ListMachines { after });
         }
     }
 
@@ -28,55 +28,61 @@
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Ok(CloudReply::Listed(list)) = result else {
+        let Ok(CloudReply::MachinePage(list)) = result else {
             if let Err(e) = result {
                 tracing::debug!("machine list: {e}");
             }
-            leader.provisioning.list.failed(now, &mut self.rng);
+            leader.autoscaling.list.failed(now, &mut self.rng);
             return;
         };
-        let provisioning = &mut leader.provisioning;
-        if !provisioning.goes_on(&list) {
+        let autoscaling = &mut leader.autoscaling;
+        if !autoscaling.goes_on(&list) {
             tracing::error!(
-                pages = provisioning.list_pages,
+                pages = autoscaling.list_pages,
                 "the cloud's machine list does not end, or repeats a page: read again later"
             );
-            provisioning.list_cursor = None;
-            provisioning.list_pages = 0;
-            provisioning.list.worked(now + k::LIST_EVERY_MS);
+            autoscaling.list_cursor = None;
+            autoscaling.list_pages = 0;
+            autoscaling
+                .list
+                .worked(now + constants::MACHINE_LIST_INTERVAL_MS);
             return;
         }
-        let more = list.machines.last().filter(|_| list.more);
-        provisioning.list_cursor = more.map(|last| last.id.clone());
-        provisioning.list_pages = more.map_or(0, |_| provisioning.list_pages + 1);
+        let more = list.machines.last().filter(|_| list.has_more);
+        autoscaling.list_cursor = more.map(|last| last.id.clone());
+        autoscaling.list_pages = more.map_or(0, |_| autoscaling.list_pages + 1);
         // A page alone does not tell what is rented.
-        provisioning.list_complete |= more.is_none();
-        let pause = if more.is_some() { 0 } else { k::LIST_EVERY_MS };
-        provisioning.list.worked(now + pause);
+        autoscaling.list_complete |= more.is_none();
+        let pause = if more.is_some() {
+            0
+        } else {
+            constants::MACHINE_LIST_INTERVAL_MS
+        };
+        autoscaling.list.worked(now + pause);
         for listed in list.machines {
             note_listed_machine(leader, &listed, now);
         }
     }
 }
 
-impl Provisioning {
+impl Autoscaling {
     /// Whether the page follows the one before, and the list may still end.
-    fn goes_on(&self, list: &MachineList) -> bool {
+    fn goes_on(&self, list: &MachinePage) -> bool {
         let last = list.machines.last().map(|machine| &machine.id);
         let advances = match &self.list_cursor {
             Some(before) => last.is_none_or(|last| last > before),
             None => true,
         };
-        let within_bound = self.list_pages < k::MACHINE_PAGES_MOST;
+        let within_bound = self.list_pages < constants::MAX_MACHINE_LIST_PAGES;
         // A page that says that there are more but names none leads nowhere.
-        let leads_on = !list.more || last.is_some();
+        let leads_on = !list.has_more || last.is_some();
         advances && within_bound && leads_on
     }
 }
 
 fn note_listed_machine(leader: &mut Leader, listed: &ListedMachine, now: Ms) {
     let id = MachineId::from(&*listed.id);
-    if leader.gone.get(&id).is_some() {
+    if leader.returned_machines.get(&id).is_some() {
         return;
     }
     let age_ms = (listed.age_s.clamp(0.0, 1e9) * 1000.0) as u64;
@@ -85,9 +91,9 @@
         Machine::new(id, "".into(), "".into(), listed.spot, now)
     });
     leader.machines.update(&id, |machine| {
-        machine.vouched = true;
+        machine.confirmed_by_cloud = true;
         // Whether or not it has reported: one that has is not new either.
-        machine.rented = machine.rented.min(now.saturating_sub(age_ms));
+        machine.rented_at = machine.rented_at.min(now.saturating_sub(age_ms));
         if machine.machine_type.is_empty() {
             machine.machine_type = listed.machine_type.as_str().into();
             machine.zone = listed.zone.as_str().into();
--- a/src/engine/provisioning/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -4,7 +4,7 @@
 //! the fleet has or will soon have. The submodules have one job each: [`renting`] requests
 //! machines, [`preemption`] stops tasks where the cloud has refused machines, [`consolidation`]
 //! joins services that half-empty machines hold, [`machine_list`]
-//! follows the cloud's list, [`housekeeping`] inspects the fleet, and [`returning`] gives machines
+//! follows the cloud's list, [`housekeeping`] inspects the autoscaler, and [`returning`] gives machines
 //! back.
 
 mod consolidation;
@@ -15,22 +15,22 @@
 mod returning;
 
 use super::{Engine, Retry};
-use crate::constants as k;
-use crate::fleet::Waiting;
+use crate::autoscaler::WaitingJob;
+use crate::constants;
 use crate::model::{JobId, Machine, MachineId, MachinePhase, Ms};
 use crate::placement::{Candidate, Unplaced};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-pub(super) use crate::fleet::Offer;
+pub(super) use crate::autoscaler::MachineOffer;
 
 /// The leader's provisioning state.
 #[derive(Debug)]
-pub(super) struct Provisioning {
+pub(super) struct Autoscaling {
     /// Tasks for which the last placing pass found no room, by job in the order of service.
     pub demand: Vec<Unplaced>,
     /// Offers for which the cloud had no capacity.
-    refusals: BTreeMap<Offer, Refusal>,
+    refusals: BTreeMap<MachineOffer, Refusal>,
     /// Rental requests made in this term. Term and count together name a request.
     request_count: u64,
     /// Rental requests whose outcome is not known yet.
@@ -38,7 +38,7 @@
     /// Time of the next rental pass, ms.
     next_rental_at: Ms,
     /// Until then machines' first reports are surely awaited, ms.
-    first_reports_awaited_until: Ms,
+    first_heartbeats_awaited_until: Ms,
     /// Schedule of the calls for the machine list.
     list: Retry,
     /// Whether the cloud's list was read to its end at least once in this term.
@@ -71,16 +71,16 @@
     pause: Ms,
 }
 
-impl Provisioning {
+impl Autoscaling {
     /// State of a leader whose term begins now.
     pub fn new(now: Ms) -> Self {
-        Provisioning {
+        Autoscaling {
             demand: Vec::new(),
             refusals: BTreeMap::new(),
             request_count: 0,
             rentals_in_flight: 0,
             next_rental_at: now,
-            first_reports_awaited_until: now,
+            first_heartbeats_awaited_until: now,
             list: Retry::default(),
             list_complete: false,
             list_cursor: None,
@@ -95,7 +95,7 @@
     }
 
     /// Offers that are left alone at the moment.
-    fn refused_offers(&self, now: Ms) -> BTreeSet<Offer> {
+    fn refused_offers(&self, now: Ms) -> BTreeSet<MachineOffer> {
         self.refusals
             .iter()
             .filter(|(_, refusal)| now < refusal.until)
@@ -108,18 +108,18 @@
     /// Takes the unplaced tasks of a placing pass as the demand.
     pub(super) fn set_demand(&mut self, unplaced: Vec<Unplaced>) {
         let now = self.now;
-        let Some(provisioning) = self.leader_mut().map(|l| &mut l.provisioning) else {
+        let Some(autoscaling) = self.leader_mut().map(|l| &mut l.autoscaling) else {
             return;
         };
         // The first tasks that wait don't wait for the next pass as well.
-        if provisioning.demand.is_empty() && !unplaced.is_empty() {
-            provisioning.next_rental_at = now;
+        if autoscaling.demand.is_empty() && !unplaced.is_empty() {
+            autoscaling.next_rental_at = now;
         }
-        provisioning.demand = unplaced;
+        autoscaling.demand = unplaced;
     }
 
     /// Lists the cloud's machines and runs a rental pass, each if it is due.
-    pub(super) fn provision_when_due(&mut self) {
+    pub(super) fn autoscale_when_due(&mut self) {
         if !self.holds_valid_lease() {
             return;
         }
@@ -130,15 +130,15 @@
     }
 
     fn is_rental_pass_due(&mut self) -> bool {
-        let Some(provisioning) = self.leader().map(|l| &l.provisioning) else {
+        let Some(autoscaling) = self.leader().map(|l| &l.autoscaling) else {
             return false;
         };
         // Until the first list nobody knows what is rented already; demand must not double it.
         // What goes over all machines comes last: this is asked at every step.
-        provisioning.rentals_in_flight == 0
-            && provisioning.list_complete
-            && self.now >= provisioning.next_rental_at
-            && !self.awaits_first_reports()
+        autoscaling.rentals_in_flight == 0
+            && autoscaling.list_complete
+            && self.now >= autoscaling.next_rental_at
+            && !self.awaits_first_heartbeats()
     }
 
     /// Compares the demand with the fleet: stops tasks for jobs that renting can't help, and rents
@@ -146,20 +146,20 @@
     fn run_rental_pass(&mut self) {
         let now = self.now;
         if let Some(leader) = self.leader_mut() {
-            leader.provisioning.next_rental_at = now + k::HOUSEKEEPING_EVERY_MS;
+            leader.autoscaling.next_rental_at = now + constants::HOUSEKEEPING_INTERVAL_MS;
         }
-        self.refresh_slots();
+        self.refresh_snapshots();
         let candidates = self.candidates();
         let plan = self.plan_preemption(&candidates);
-        let wanted = self.wanted_machines(&candidates);
+        let wanted = self.scaling_plan(&candidates);
         if let Some(leader) = self.leader_mut() {
-            leader.provisioning.reserved = wanted.keep;
+            leader.autoscaling.reserved = wanted.keep;
         }
         self.pause_preemption(plan.without_victims);
         if let Some(preemption) = plan.preemption {
             self.preempt(preemption);
         }
-        self.rent_machines(wanted.rent);
+        self.scale_out(wanted.rent);
     }
 
     /// Whether a machine is about to come up. One that is overdue is not counted on.
@@ -167,19 +167,19 @@
         let boot_ms = self
             .machine_type(&machine.machine_type)
             .map_or(0, |t| t.boot_ms);
-        let overdue = self.now.saturating_sub(machine.rented) > 2 * boot_ms;
-        machine.phase == MachinePhase::Booting && machine.vouched && !overdue
+        let overdue = self.now.saturating_sub(machine.rented_at) > 2 * boot_ms;
+        machine.phase == MachinePhase::Booting && machine.confirmed_by_cloud && !overdue
     }
 
     /// Whether a machine takes tasks now or is about to.
     fn is_expected(&self, machine: &Machine) -> bool {
-        machine.takes_tasks() || self.is_booting(machine)
+        machine.accepts_tasks() || self.is_booting(machine)
     }
 }
 
 /// A candidate's tasks for which there is no room, as the fleet's planning takes them.
-fn waiting_tasks<'a>(candidate: &Candidate<'a>, tasks: u32) -> Waiting<'a> {
-    Waiting {
+fn waiting_tasks<'a>(candidate: &Candidate<'a>, tasks: u32) -> WaitingJob<'a> {
+    WaitingJob {
         job: candidate.job,
         tasks,
         zones: candidate.zones.clone(),
--- a/src/engine/provisioning/preemption.rs
+++ b/src/engine/autoscaling/preemption.rs
@@ -1,11 +1,11 @@
 //! Preemption: stopping running tasks for waiting jobs that the cloud has no machines for.
 
 use super::waiting_tasks;
-use crate::constants as k;
+use crate::autoscaler;
+use crate::constants;
 use crate::engine::Engine;
-use crate::fleet;
 use crate::model::{JobId, Machine, Resources, TaskId};
-use crate::placement::{Candidate, Slot, preempt};
+use crate::placement::{Candidate, MachineSnapshot, preempt};
 
 /// Tasks to be stopped for one job.
 pub(super) struct Preemption {
@@ -32,27 +32,27 @@
         let Some(leader) = self.leader() else {
             return plan;
         };
-        if leader.provisioning.refused_offers(now).is_empty() {
+        if leader.autoscaling.refused_offers(now).is_empty() {
             return plan;
         }
-        let guaranteed = self.guaranteed();
+        let within_guarantee = self.within_guarantee();
         let any_room = Resources::default();
         let mut expected = leader.machines.with_room(any_room, |m| self.is_expected(m));
-        let mut up: Option<Vec<Slot>> = None;
-        let running = preempt::running(self.jobs.iter(), |id| guaranteed.contains(id), now);
-        for unplaced in &leader.provisioning.demand {
+        let mut up: Option<Vec<MachineSnapshot>> = None;
+        let running = preempt::running(self.jobs.iter(), |id| within_guarantee.contains(id), now);
+        for unplaced in &leader.autoscaling.demand {
             let Some(candidate) = candidates.iter().find(|c| *c.id == unplaced.job) else {
                 continue;
             };
             // Room that will soon be there is first come, first served: it is taken off for
             // the jobs after this one.
             let waiting = waiting_tasks(candidate, unplaced.tasks);
-            let has_room = fleet::has_room(&waiting, &mut expected);
+            let has_room = autoscaler::has_room(&waiting, &mut expected);
             if has_room || !self.may_preempt_for(candidate) {
                 continue;
             }
-            let up =
-                up.get_or_insert_with(|| leader.machines.with_room(any_room, Machine::takes_tasks));
+            let up = up
+                .get_or_insert_with(|| leader.machines.with_room(any_room, Machine::accepts_tasks));
             let gang = candidate.job.is_gang();
             let tasks = if gang { unplaced.tasks } else { 1 };
             let job = candidate.id.clone();
@@ -62,7 +62,7 @@
                 return plan;
             }
             plan.without_victims.push(job);
-            if plan.without_victims.len() >= k::PREEMPT_TRIES {
+            if plan.without_victims.len() >= constants::MAX_PREEMPTION_SEARCHES {
                 break;
             }
         }
@@ -73,10 +73,11 @@
     fn may_preempt_for(&self, candidate: &Candidate<'_>) -> bool {
         let now = self.now;
         let paused = self.leader().is_some_and(|leader| {
-            let pauses = &leader.provisioning.preemption_pauses;
+            let pauses = &leader.autoscaling.preemption_pauses;
             pauses.get(candidate.id).is_some_and(|until| now < *until)
         });
-        let fresh = now.saturating_sub(candidate.job.seen) < k::PREEMPT_AFTER_MS;
+        let fresh =
+            now.saturating_sub(candidate.job.first_seen_at) < constants::PREEMPTION_DELAY_MS;
         !paused && !fresh
     }
 
@@ -86,9 +87,9 @@
         let Some(leader) = self.leader_mut() else {
             return;
         };
-        let pauses = &mut leader.provisioning.preemption_pauses;
+        let pauses = &mut leader.autoscaling.preemption_pauses;
         pauses.retain(|_, until| now < *until);
-        let until = now + k::PREEMPT_AFTER_MS;
+        let until = now + constants::PREEMPTION_DELAY_MS;
         pauses.extend(without_victims.into_iter().map(|id| (id, until)));
     }
 
@@ -98,8 +99,8 @@
         let Preemption { job, victims } = preemption;
         tracing::info!(%job, victims = victims.len(), "stopping tasks to make room");
         if let Some(leader) = self.leader_mut() {
-            let pauses = &mut leader.provisioning.preemption_pauses;
-            pauses.insert(job, now + k::PREEMPT_MS);
+            let pauses = &mut leader.autoscaling.preemption_pauses;
+            pauses.insert(job, now + constants::PREEMPTION_PAUSE_MS);
         }
         for task in victims {
             self.stop_task(&task);
@@ -112,11 +113,11 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let grace_s = job.spec.grace_s();
+        let grace_s = job.spec.checkpoint_grace_s();
         if job.is_gang() {
-            job.stop_all(grace_s, now);
-        } else if let Some(placement) = job.live.get_mut(&task.index) {
-            placement.order_stop(grace_s, now);
+            job.stop_all_tasks(grace_s, now);
+        } else if let Some(placement) = job.placements.get_mut(&task.index) {
+            placement.request_stop(grace_s, now);
         }
         self.send_stops(&task.job);
     }
--- a/src/engine/provisioning/returning.rs
+++ b/src/engine/autoscaling/returning.rs
@@ -1,21 +1,21 @@
 //! Returning: gives machines back to the cloud, and takes its answer as proof that their tasks
-//! are gone.
+//! are returned_machines.
 
-use super::Offer;
+use super::MachineOffer;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
-use crate::constants as k;
-use crate::engine::{Engine, Op, Role};
+use crate::constants;
+use crate::engine::{Engine, PendingCall, Role};
 use crate::model::{Machine, MachineId, MachinePhase};
 
 impl Engine {
     /// Asks the cloud to take machines back. They and everything on them are gone only when it
     /// says so; until then their tasks count as running.
-    pub(super) fn return_machines(&mut self) {
+    pub(super) fn scale_in(&mut self) {
         let lease_valid = self.holds_valid_lease();
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        if !lease_valid || !leader.provisioning.returns.due(self.now) {
+        if !lease_valid || !leader.autoscaling.returns.due(self.now) {
             return;
         }
         let returning = |m: &&Machine| m.phase == MachinePhase::Returning;
@@ -23,13 +23,16 @@
             .machines
             .values()
             .filter(returning)
-            .take(k::RETURN_MOST)
+            .take(constants::MAX_MACHINES_PER_RETURN)
             .map(|m| m.id.clone())
             .collect();
         if !machines.is_empty() {
-            leader.provisioning.returns.busy = true;
+            leader.autoscaling.returns.busy = true;
             let names = machines.iter().map(ToString::to_string).collect();
-            self.cloud(Op::Return(machines), CloudCall::Return(names));
+            self.call_cloud(
+                PendingCall::ReturnMachines(machines),
+                CloudCall::Return(names),
+            );
         }
     }
 
@@ -45,27 +48,27 @@
         };
         if let Err(why) = result {
             tracing::info!("returning failed: {why}");
-            leader.provisioning.returns.failed(now, &mut self.rng);
+            leader.autoscaling.returns.failed(now, &mut self.rng);
             return;
         }
-        leader.provisioning.returns.worked(now);
-        leader.dirty = true;
+        leader.autoscaling.returns.worked(now);
+        leader.needs_scheduling = true;
         let mut lost_tasks = Vec::new();
         for id in machines {
             if let Some(machine) = leader.machines.remove(&id) {
                 // What was given back can be had again.
-                leader.provisioning.refusals.remove(&Offer {
+                leader.autoscaling.refusals.remove(&MachineOffer {
                     machine_type: machine.machine_type,
                     zone: machine.zone,
                     spot: machine.spot,
                 });
                 lost_tasks.extend(machine.tasks);
             }
-            leader.gone.insert(id, ());
+            leader.returned_machines.insert(id, ());
         }
         for task in lost_tasks {
             tracing::info!(%task, "task lost with its machine");
-            self.lose(&task);
+            self.handle_lost_task(&task);
         }
     }
 }
--- a/src/engine/reports/failures.rs
+++ b/src/engine/heartbeats/failures.rs
@@ -1,6 +1,6 @@
 //! Failure attribution: whether the machine or the job is at fault when a task fails.
 
-use crate::constants as k;
+use crate::constants;
 use crate::engine::Engine;
 use crate::model::{JobId, Machine, MachineId};
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
         let job = job.clone();
         if let Some(machine) = self.leader_mut().and_then(|l| l.machines.get_mut(machine)) {
             machine.failed_jobs.insert(job);
-            if machine.failed_jobs.len() >= k::QUARANTINE_AFTER_JOBS {
+            if machine.failed_jobs.len() >= constants::QUARANTINE_AFTER_JOBS {
                 quarantine(machine);
             }
         }
@@ -42,9 +42,10 @@
     pub(super) fn delay_restart(&mut self, job: &JobId) {
         let now = self.now;
         if let Some(job) = self.jobs.get_mut(job) {
-            job.failures += 1;
-            let pause = k::FAILED_FIRST_MS << (job.failures - 1).min(16);
-            job.not_before = now + pause.min(k::FAILED_MOST_MS);
+            job.consecutive_failures += 1;
+            let pause = constants::TASK_FAILURE_INITIAL_BACKOFF_MS
+                << (job.consecutive_failures - 1).min(16);
+            job.backoff_until = now + pause.min(constants::TASK_FAILURE_MAX_BACKOFF_MS);
         }
     }
 }
--- a/src/engine/reports/follower.rs
+++ b/src/engine/heartbeats/follower.rs
@@ -1,11 +1,11 @@
 //! Serving reports on a node that does not lead: a worker is redirected to the leader, or, while
 //! that is unreachable, answered in its place.
 
-use super::Token;
-use crate::constants as k;
+use super::FencingToken;
+use crate::constants;
 use crate::engine::{Engine, Reply};
 use crate::model::{MachineId, Ms};
-use crate::wire::worker::{Orders, Report};
+use crate::wire::worker::{Heartbeat, HeartbeatResponse};
 
 /// What a node has done with a worker of a leader that it can't reach.
 #[derive(Debug, Clone, Copy, Default)]
@@ -24,22 +24,24 @@
 }
 
 impl Engine {
-    pub(super) fn answer_as_follower(&mut self, report: &Report) -> Reply {
-        let seen = Token(report.token);
+    pub(super) fn answer_as_follower(&mut self, heartbeat: &Heartbeat) -> Reply {
+        let seen = FencingToken(heartbeat.fencing_token);
         let term = self
             .unreachable_leader()
             .map(|h| h.term)
             .filter(|term| seen.term() <= *term);
         if let Some(term) = term
-            && self.serves_for_leader(&report.machine, seen.term() == term)
+            && self.serves_for_leader(&heartbeat.machine, seen.term() == term)
         {
-            return Reply::Orders(Orders {
-                token: seen.max(Token::first(term)).0,
-                orders: self.stops_of_cancelled(report),
+            return Reply::HeartbeatAccepted(HeartbeatResponse {
+                fencing_token: seen.max(FencingToken::first_of_term(term)).0,
+                commands: self.stops_of_cancelled_jobs(heartbeat),
             });
         }
-        match &self.holder {
-            Some(h) if h.node != self.settings.node => Reply::Elsewhere(Some(h.node.clone())),
+        match &self.observed_leader {
+            Some(h) if h.node != self.settings.node => {
+                Reply::RedirectToLeader(Some(h.node.clone()))
+            }
             _ => Reply::Unavailable,
         }
     }
@@ -61,7 +63,7 @@
         }
         // Redirected, and back before its lease could have ended; or never redirected by this node.
         let came_back = known.map_or(knows_term, |r| r.redirected > r.served_until);
-        if self.redirects.len() >= k::REDIRECTS_MOST && known.is_none() {
+        if self.redirects.len() >= constants::MAX_REDIRECTS_REMEMBERED && known.is_none() {
             return came_back;
         }
         let mut redirect = known.unwrap_or_default();
@@ -78,7 +80,7 @@
     fn forget_old_redirects(&mut self) {
         let (now, lease) = (self.now, self.timing.worker_lease);
         if now >= self.next_redirect_cleanup {
-            self.next_redirect_cleanup = now + k::HOUSEKEEPING_EVERY_MS;
+            self.next_redirect_cleanup = now + constants::HOUSEKEEPING_INTERVAL_MS;
             self.redirects
                 .retain(|_, redirect| redirect.is_recent(now, lease));
         }
--- a/src/engine/leadership.rs
+++ b/src/engine/leadership.rs
@@ -5,24 +5,26 @@
 //! as read before; so terms are never used twice, and at most one leader's commits succeed.
 
 use super::records::{self, LEAD, LeadRecord, TERM, TermRecord};
-use super::{Engine, Holder, Leader, Op, Role, ends, provisioning, recovery, rounds};
-use crate::constants as k;
+use super::{
+    Engine, Leader, ObservedLeader, PendingCall, Role, autoscaling, completions, recovery, rounds,
+};
+use crate::bounded_map::BoundedMap;
+use crate::constants;
 use crate::model::Ms;
 use crate::peer::Announcement;
-use crate::recent::Recent;
 use crate::store::{StoreCall, StoreError, StoreReply};
-use crate::wire::store::Txn;
+use crate::wire::store::Transaction;
 
 /// Less what the steady clock may have lost.
 fn less_drift(ms: u64) -> u64 {
-    ms - ms * k::DRIFT_PPM / 1_000_000
+    ms - ms * constants::DRIFT_PPM / 1_000_000
 }
 
 impl Engine {
     /// The state service names the leader.
-    pub(super) fn on_leader_seen(&mut self, seen: Holder) {
+    pub(super) fn on_leader_seen(&mut self, seen: ObservedLeader) {
         if self
-            .holder
+            .observed_leader
             .as_ref()
             .is_some_and(|h| h.version >= seen.version)
         {
@@ -35,15 +37,19 @@
         }
         // Its own key from before a restart: that process is gone, so there is nobody to wait
         // for.
-        self.holder = Some(seen);
+        self.observed_leader = Some(seen);
     }
 
     /// The leader's key was deleted, up to that version.
     pub(super) fn on_leader_gone(&mut self, version: u64) {
-        if self.holder.as_ref().is_some_and(|h| h.version > version) {
+        if self
+            .observed_leader
+            .as_ref()
+            .is_some_and(|h| h.version > version)
+        {
             return;
         }
-        self.holder = None;
+        self.observed_leader = None;
         if self.leader().is_some_and(|l| l.version <= version) {
             self.step_down("the lease has ended");
         }
@@ -52,7 +58,8 @@
     /// A peer's announcement came in.
     pub(super) fn on_announced(&mut self, said: Announcement) {
         if self.settings.peers.iter().any(|p| p.node == said.node) {
-            self.peers.insert(said.node, (self.now, said.store_ok));
+            self.peers
+                .insert(said.node, (self.now, said.store_reachable));
         }
         self.term_heard = self.term_heard.max(said.term);
         // A leader that the state service refuses hears of its successor this way.
@@ -64,16 +71,18 @@
     /// Whether this node may start things: it leads, its lease is surely valid, and it has heard of
     /// all changes within the lease's time.
     pub(super) fn holds_valid_lease(&self) -> bool {
-        let ttl = less_drift(k::LEASE_TTL_MS);
-        self.leader().is_some_and(|l| self.now < l.renewed + ttl)
+        let ttl = less_drift(constants::LEASE_TTL_MS);
+        self.leader()
+            .is_some_and(|l| self.now < l.lease_renewed_at + ttl)
             && self.fresh_at.is_some_and(|at| self.now < at + ttl)
     }
 
     /// Whether this node may still answer reports, which renews workers' leases. Bounded, so
     /// that a cancellation it has not heard of still ends in time: see the timing's grace.
-    pub(super) fn may_answer(&self) -> bool {
+    pub(super) fn may_respond(&self) -> bool {
         let grace = self.leader_grace();
-        self.leader().is_some_and(|l| self.now < l.renewed + grace)
+        self.leader()
+            .is_some_and(|l| self.now < l.lease_renewed_at + grace)
             && self.knows_cancellations(grace)
     }
 
@@ -89,22 +98,22 @@
     /// zone that is cut off, what they run would end for nothing.)
     fn leader_grace(&self) -> Ms {
         match self.is_alone() {
-            true => self.timing.grace / 2,
-            false => self.timing.grace,
+            true => self.timing.leader_grace / 2,
+            false => self.timing.leader_grace,
         }
     }
 
     /// The leader for which this node may answer reports in its absence: the state service says
     /// that it leads, and it can't be heard. Whoever can't reach it from here is answered only
-    /// to keep its lease and to be told of cancellations; the right ends, as the leader's own
+    /// to keep its lease and to be told of cancellations; the right completions, as the leader's own
     /// does, with the grace after the last proof of knowing all cancellations.
-    pub(super) fn unreachable_leader(&self) -> Option<&Holder> {
-        let holder = self
-            .holder
+    pub(super) fn unreachable_leader(&self) -> Option<&ObservedLeader> {
+        let observed_leader = self
+            .observed_leader
             .as_ref()
             .filter(|h| h.node != self.settings.node)?;
-        let knows = self.knows_cancellations(self.timing.grace);
-        (knows && !self.hears(&holder.node)).then_some(holder)
+        let knows = self.knows_cancellations(self.timing.leader_grace);
+        (knows && !self.hears(&observed_leader.node)).then_some(observed_leader)
     }
 
     /// Renews the lease, steps down or stands for election, as is due.
@@ -121,11 +130,14 @@
         let Some(leader) = self.leader_mut() else {
             return;
         };
-        if !leader.renewing && now >= leader.next_renewal_at {
-            leader.renewing = true;
+        if !leader.renewal_in_flight && now >= leader.next_renewal_at {
+            leader.renewal_in_flight = true;
             let lease = leader.lease;
-            self.store(Op::RenewLease { sent: now }, StoreCall::Touch { lease });
-        } else if !self.may_answer() {
+            self.call_store(
+                PendingCall::RenewLease { sent_at: now },
+                StoreCall::KeepAlive { lease },
+            );
+        } else if !self.may_respond() {
             self.step_down("no contact with the state service");
         }
     }
@@ -134,26 +146,30 @@
     fn campaign_when_due(&mut self) {
         let now = self.now;
         let vacant = self
-            .holder
+            .observed_leader
             .as_ref()
             .is_none_or(|h| h.node == self.settings.node);
-        let current = self.revision.is_some() && self.store_ok();
-        if vacant && current && self.types.is_some() && self.campaign.due(now) {
+        let current = self.revision.is_some() && self.store_reachable();
+        if vacant && current && self.machine_types.is_some() && self.campaign.due(now) {
             self.campaign.busy = true;
             self.role = Role::Campaign { lease: None };
-            let call = StoreCall::Hold {
-                ttl_ms: k::LEASE_TTL_MS,
+            let call = StoreCall::GrantLease {
+                ttl_ms: constants::LEASE_TTL_MS,
             };
-            self.store(Op::CampaignLease { sent: now }, call);
+            self.call_store(PendingCall::GrantCampaignLease { sent_at: now }, call);
         }
     }
 
     /// The campaign's lease was granted: the durable term is read next.
-    pub(super) fn on_campaign_lease(&mut self, sent: Ms, result: Result<StoreReply, StoreError>) {
+    pub(super) fn on_campaign_lease(
+        &mut self,
+        sent_at: Ms,
+        result: Result<StoreReply, StoreError>,
+    ) {
         match (&mut self.role, result) {
-            (Role::Campaign { lease }, Ok(StoreReply::Held { lease: held })) => {
-                *lease = Some((held, sent));
-                self.store(Op::CampaignTerm, StoreCall::Get { key: TERM.into() });
+            (Role::Campaign { lease }, Ok(StoreReply::LeaseGranted { lease: held })) => {
+                *lease = Some((held, sent_at));
+                self.call_store(PendingCall::ReadTerm, StoreCall::Get { key: TERM.into() });
             }
             _ => self.end_campaign(),
         }
@@ -168,8 +184,8 @@
             return self.end_campaign();
         };
         let (last, version) = match result {
-            Ok(StoreReply::Got(None)) => (0, 0),
-            Ok(StoreReply::Got(Some(item))) => match records::read::<TermRecord>(item.value) {
+            Ok(StoreReply::Item(None)) => (0, 0),
+            Ok(StoreReply::Item(Some(item))) => match records::read::<TermRecord>(item.value) {
                 Some(record) => (record.term, item.version),
                 None => {
                     tracing::error!(key = TERM, "record can't be read, nobody can lead");
@@ -179,7 +195,7 @@
             _ => return self.end_campaign(),
         };
         // Another node may have become leader since the campaign began.
-        let held_by = self.holder.as_ref();
+        let held_by = self.observed_leader.as_ref();
         if held_by.is_some_and(|h| h.node != self.settings.node) {
             return self.end_campaign();
         }
@@ -189,18 +205,18 @@
             node: self.settings.node.clone(),
             term,
         };
-        let txn = Txn::default()
-            .when(LEAD, lead_version)
-            .when(TERM, version)
-            .put_leased(LEAD, records::value(&lead), lease)
+        let txn = Transaction::default()
+            .compare(LEAD, lead_version)
+            .compare(TERM, version)
+            .put_with_lease(LEAD, records::value(&lead), lease)
             .put(TERM, records::value(&TermRecord { term }));
-        self.store(Op::CampaignCommit { term }, StoreCall::Commit(txn));
+        self.call_store(PendingCall::CommitElection { term }, StoreCall::Commit(txn));
     }
 
     /// The outcome of the commit that makes this node the leader.
     pub(super) fn on_elected(&mut self, term: u64, result: Result<StoreReply, StoreError>) {
         let Role::Campaign {
-            lease: Some((lease, sent)),
+            lease: Some((lease, sent_at)),
         } = self.role
         else {
             return self.end_campaign();
@@ -210,7 +226,7 @@
         };
         self.campaign.worked(self.now);
         tracing::info!(term, "became leader");
-        self.holder = Some(Holder {
+        self.observed_leader = Some(ObservedLeader {
             node: self.settings.node.clone(),
             term,
             version: revision,
@@ -218,23 +234,23 @@
         self.term_heard = self.term_heard.max(term);
         self.forget_placements();
         // Outcomes of calls from an earlier term mean nothing in this one.
-        self.ops.retain(|_, op| !op.is_leaders());
+        self.ops.retain(|_, call_id| !call_id.is_leaders());
         self.role = Role::Leader(Box::new(Leader {
             term,
             version: revision,
             lease,
-            renewed: sent,
-            next_renewal_at: sent + k::LEASE_RENEW_MS,
-            renewing: false,
-            loading: Some(recovery::Loading::default()),
-            since: self.now,
+            lease_renewed_at: sent_at,
+            next_renewal_at: sent_at + constants::LEASE_RENEWAL_INTERVAL_MS,
+            renewal_in_flight: false,
+            recovery: Some(recovery::Recovery::default()),
+            elected_at: self.now,
             machines: Default::default(),
-            gone: Recent::new(k::GONE_REMEMBERED),
+            returned_machines: BoundedMap::new(constants::MAX_RETURNED_MACHINES_REMEMBERED),
             rounds: rounds::Rounds::default(),
-            ends: ends::Ends::default(),
-            provisioning: provisioning::Provisioning::new(self.now),
-            dirty: true,
-            place_at: self.now,
+            completions: completions::Completions::default(),
+            autoscaling: autoscaling::Autoscaling::new(self.now),
+            needs_scheduling: true,
+            next_scheduling_at: self.now,
         }));
     }
 
@@ -242,7 +258,7 @@
     fn end_campaign(&mut self) {
         if let Role::Campaign { lease } = &self.role {
             if let Some((lease, _)) = *lease {
-                self.store(Op::Forgotten, StoreCall::Drop { lease });
+                self.call_store(PendingCall::Untracked, StoreCall::RevokeLease { lease });
             }
             self.role = Role::Follower;
         }
@@ -250,34 +266,34 @@
     }
 
     /// The outcome of a renewal.
-    pub(super) fn on_lease_renewed(&mut self, sent: Ms, result: Result<StoreReply, StoreError>) {
+    pub(super) fn on_lease_renewed(&mut self, sent_at: Ms, result: Result<StoreReply, StoreError>) {
         let now = self.now;
         let Some(leader) = self.leader_mut() else {
             return;
         };
-        leader.renewing = false;
+        leader.renewal_in_flight = false;
         match result {
             Ok(_) => {
-                leader.renewed = leader.renewed.max(sent);
-                leader.next_renewal_at = sent + k::LEASE_RENEW_MS;
+                leader.lease_renewed_at = leader.lease_renewed_at.max(sent_at);
+                leader.next_renewal_at = sent_at + constants::LEASE_RENEWAL_INTERVAL_MS;
             }
             Err(StoreError::NoLease) => self.step_down("the lease has ended"),
             Err(e) => {
                 tracing::debug!("renewal: {e}");
-                leader.next_renewal_at = now + k::LEASE_RENEW_MS / 4;
+                leader.next_renewal_at = now + constants::LEASE_RENEWAL_INTERVAL_MS / 4;
             }
         }
     }
 
     /// Gives up leadership, if this node leads, and everything that only a leader knows.
-    pub(super) fn step_down(&mut self, why: &str) {
+    pub(super) fn step_down(&mut self, reason: &str) {
         if let Role::Leader(leader) = &self.role {
-            tracing::info!(term = leader.term, "gave up leadership: {why}");
+            tracing::info!(term = leader.term, "gave up leadership: {reason}");
             let lease = leader.lease;
             // Outcomes that come in later would meet jobs of which no placement and no end is known
             // any more: the end of one that is done once counted as its cancellation.
-            self.ops.retain(|_, op| !op.is_leaders());
-            self.store(Op::Forgotten, StoreCall::Drop { lease });
+            self.ops.retain(|_, call_id| !call_id.is_leaders());
+            self.call_store(PendingCall::Untracked, StoreCall::RevokeLease { lease });
             self.role = Role::Follower;
             self.forget_placements();
             self.campaign.failed(self.now, &mut self.rng);
@@ -287,24 +303,13 @@
     /// What only a leader knows of jobs is not carried from one term to the next.
     fn forget_placements(&mut self) {
         for job in self.jobs.values_mut() {
-            let fresh = crate::model::Job::new(
-                job.spec.clone(),
-                job.version,
-                job.submitted,
-                job.phase,
-                job.seen,
-            );
-            *job = crate::model::Job {
-                ready: job.ready,
-                needed: job.needed,
-                ..fresh
-            };
+            job.forget_leader_state();
         }
         self.jobs
-            .retain(|_, job| !matches!(job.phase, crate::model::Phase::Done { written: true }));
+            .retain(|_, job| !matches!(job.phase, crate::model::JobPhase::Done { recorded: true }));
         for job in self.jobs.values_mut() {
-            if matches!(job.phase, crate::model::Phase::Done { .. }) {
-                job.phase = crate::model::Phase::Open;
+            if matches!(job.phase, crate::model::JobPhase::Done { .. }) {
+                job.phase = crate::model::JobPhase::Open;
             }
         }
     }
--- a/src/engine/machines.rs
+++ b/src/engine/machines.rs
@@ -1,17 +1,17 @@
 //! The machines of a leader, with what placing sees of each.
 //!
 //! A round is planned ten times a second, and a machine's room follows from its tasks; so the
-//! room is worked out again only for machines that were touched since. Whoever changes a machine,
+//! room is worked out again only for machines that were dirty since. Whoever changes a machine,
 //! or what is on it, gets it from here by [`Machines::get_mut`], which marks it. (Worked out for
 //! every machine at each pass, it took most of a leader's processor at 1,300 machines.) Most reports
 //! change nothing that placing sees; they go through [`Machines::update`], which marks the machine
 //! only if they do.
 
 use super::Engine;
-use crate::constants as k;
-use crate::model::{Machine, MachineId, Ms, Resources, Stage, TaskId, Types};
-use crate::placement::Slot;
-use crate::wire::user::Kind;
+use crate::constants;
+use crate::model::{Machine, MachineId, MachineTypes, Ms, PlacementStage, Resources, TaskId};
+use crate::placement::MachineSnapshot;
+use crate::wire::user::JobKind;
 use crate::wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Deref;
@@ -21,17 +21,17 @@
 pub(super) struct Machines {
     all: BTreeMap<MachineId, Machine>,
     /// Changed since their slots were made.
-    touched: BTreeSet<MachineId>,
-    slots: BTreeMap<MachineId, Seen>,
+    dirty: BTreeSet<MachineId>,
+    snapshots: BTreeMap<MachineId, CachedSnapshot>,
     /// The machine types that the slots were made with.
-    types: Option<Arc<Types>>,
+    machine_types: Option<Arc<MachineTypes>>,
 }
 
 /// A machine as placing sees it.
 #[derive(Debug, PartialEq)]
-struct Seen {
+struct CachedSnapshot {
     at: Ms,
-    slot: Slot,
+    snapshot: MachineSnapshot,
     /// Takes tasks, and no start on it is unreported: such a machine is locked by its round.
     ready: bool,
 }
@@ -42,7 +42,7 @@
     machine_type: Arc<str>,
     zone: Arc<str>,
     spot: bool,
-    takes_tasks: bool,
+    accepts_tasks: bool,
 }
 
 impl Availability {
@@ -51,7 +51,7 @@
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            takes_tasks: machine.takes_tasks(),
+            accepts_tasks: machine.accepts_tasks(),
         }
     }
 }
@@ -68,13 +68,13 @@
 impl Machines {
     pub fn get_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
         let machine = self.all.get_mut(id)?;
-        self.touched.insert(id.clone());
+        self.dirty.insert(id.clone());
         Some(machine)
     }
 
     /// Marks the machine: the stage of a task on it has changed.
-    pub fn touch(&mut self, id: &MachineId) {
-        self.touched.insert(id.clone());
+    pub fn mark_dirty(&mut self, id: &MachineId) {
+        self.dirty.insert(id.clone());
     }
 
     /// Changes anything of a machine but its tasks and images. It is marked if placing sees the
@@ -87,10 +87,10 @@
         let machine = self.all.get_mut(id)?;
         let before = Availability::of(machine);
         let result = change(machine);
-        let slot = self.slots.get(id).map(|seen| &seen.slot);
-        let fetches = slot.is_some_and(|slot| !slot.fetching.is_empty());
+        let snapshot = self.snapshots.get(id).map(|cached| &cached.snapshot);
+        let fetches = snapshot.is_some_and(|snapshot| !snapshot.fetching.is_empty());
         if fetches || before != Availability::of(machine) {
-            self.touched.insert(id.clone());
+            self.dirty.insert(id.clone());
         }
         Some(result)
     }
@@ -99,84 +99,89 @@
     pub fn insert_if_absent(&mut self, id: &MachineId, new: impl FnOnce(MachineId) -> Machine) {
         if !self.all.contains_key(id) {
             self.all.insert(id.clone(), new(id.clone()));
-            self.touched.insert(id.clone());
+            self.dirty.insert(id.clone());
         }
     }
 
     pub fn remove(&mut self, id: &MachineId) -> Option<Machine> {
-        self.slots.remove(id);
-        self.touched.remove(id);
+        self.snapshots.remove(id);
+        self.dirty.remove(id);
         self.all.remove(id)
     }
 
     /// Machines that starts may be sent to, with the room that is surely free: at least so much.
-    pub fn ready(&self, least: Resources) -> Vec<Slot> {
-        let ready = self.slots.values().filter(|seen| seen.ready);
-        let roomy = ready.filter(|seen| least.fits_in(seen.slot.room));
-        roomy.map(|seen| seen.slot.clone()).collect()
+    pub fn ready(&self, least: Resources) -> Vec<MachineSnapshot> {
+        let ready = self.snapshots.values().filter(|cached| cached.ready);
+        let roomy = ready.filter(|cached| least.fits_in(cached.snapshot.available));
+        roomy.map(|cached| cached.snapshot.clone()).collect()
     }
 
     /// Machines of which `which` holds and in which `least` has room.
-    pub fn with_room(&self, least: Resources, which: impl Fn(&Machine) -> bool) -> Vec<Slot> {
-        self.slots
+    pub fn with_room(
+        &self,
+        least: Resources,
+        which: impl Fn(&Machine) -> bool,
+    ) -> Vec<MachineSnapshot> {
+        self.snapshots
             .values()
-            .map(|seen| &seen.slot)
-            .filter(|slot| least.fits_in(slot.room))
-            .filter(|slot| self.all.get(&slot.id).is_some_and(&which))
+            .map(|cached| &cached.snapshot)
+            .filter(|snapshot| least.fits_in(snapshot.available))
+            .filter(|snapshot| self.all.get(&snapshot.id).is_some_and(&which))
             .cloned()
             .collect()
     }
 }
 
 impl Engine {
-    /// Makes the slots of touched machines anew.
-    pub(super) fn refresh_slots(&mut self) {
-        let types = self.types.clone();
+    /// Makes the slots of dirty machines anew.
+    pub(super) fn refresh_snapshots(&mut self) {
+        let types = self.machine_types.clone();
         let Some(machines) = self.leader_mut().map(|l| &mut l.machines) else {
             return;
         };
         // Sizes are read again from time to time.
-        if machines.types != types {
-            machines.touched.extend(machines.all.keys().cloned());
-            machines.types = types;
+        if machines.machine_types != types {
+            machines.dirty.extend(machines.all.keys().cloned());
+            machines.machine_types = types;
         }
-        let touched = std::mem::take(&mut machines.touched);
-        let seen: Vec<(MachineId, Option<Seen>)> = touched
+        let dirty = std::mem::take(&mut machines.dirty);
+        let cached: Vec<(MachineId, Option<CachedSnapshot>)> = dirty
             .into_iter()
             .map(|id| {
-                let seen = self.see(&id, self.now);
-                (id, seen)
+                let cached = self.build_snapshot(&id, self.now);
+                (id, cached)
             })
             .collect();
         let Some(machines) = self.leader_mut().map(|l| &mut l.machines) else {
             return;
         };
-        for (id, seen) in seen {
-            match seen {
-                Some(seen) => machines.slots.insert(id, seen),
-                None => machines.slots.remove(&id),
+        for (id, cached) in cached {
+            match cached {
+                Some(cached) => machines.snapshots.insert(id, cached),
+                None => machines.snapshots.remove(&id),
             };
         }
     }
 
     /// The machine as placing sees it at that time; `None` while its type is not known.
-    fn see(&self, id: &MachineId, at: Ms) -> Option<Seen> {
+    fn build_snapshot(&self, id: &MachineId, at: Ms) -> Option<CachedSnapshot> {
         let machine = self.leader()?.machines.get(id)?;
         let kind = self.machine_type(&machine.machine_type)?;
         let load = self.load_of(machine, at);
         let images = machine.images.iter();
-        Some(Seen {
+        Some(CachedSnapshot {
             at,
-            ready: machine.takes_tasks() && !load.locked,
-            slot: Slot {
+            ready: machine.accepts_tasks() && !load.locked,
+            snapshot: MachineSnapshot {
                 id: machine.id.clone(),
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
-                size: kind.size,
-                room: kind.size - load.used,
-                free_tasks: k::MACHINE_TASKS.saturating_sub(machine.tasks.len() as u32),
-                settled: load.settled,
+                capacity: kind.capacity,
+                available: kind.capacity - load.used,
+                free_task_slots: constants::MAX_TASKS_PER_MACHINE
+                    .saturating_sub(machine.tasks.len() as u32),
+                long_running: load.long_running,
                 images: images.map(|(name, _)| name.clone()).collect(),
                 fetching: left_to_fetch(load.fetches, kind.fetch_gb_per_s, at),
                 boot_gb: kind.boot_gb(),
@@ -185,28 +190,28 @@
     }
 
     /// What the tasks on a machine come to.
-    fn load_of(&self, machine: &Machine, at: Ms) -> Load {
-        let mut load = Load::default();
+    fn load_of(&self, machine: &Machine, at: Ms) -> MachineLoad {
+        let mut load = MachineLoad::default();
         for TaskId { job, index } in &machine.tasks {
             let Some(job) = self.jobs.get(job) else {
                 continue;
             };
-            load.used += job.spec.need;
-            if job.spec.kind == Kind::Service {
-                load.settled += job.spec.need;
+            load.used += job.spec.request;
+            if job.spec.kind == JobKind::Service {
+                load.long_running += job.spec.request;
             }
-            let placement = job.live.get(index);
+            let placement = job.placements.get(index);
             let stage = placement.map(|p| p.stage);
-            load.locked |= stage.is_some_and(|stage| !matches!(stage, Stage::Up(_)));
+            load.locked |= stage.is_some_and(|stage| !matches!(stage, PlacementStage::Reported(_)));
             let image = &job.spec.image;
             let ready = machine.has_image(image)
-                || matches!(stage, Some(Stage::Up(s)) if s != TaskState::Fetching);
+                || matches!(stage, Some(PlacementStage::Reported(s)) if s != TaskState::Fetching);
             if ready {
                 continue;
             }
             let begun = placement
-                .filter(|p| matches!(p.stage, Stage::Up(_)))
-                .map_or(at, |p| p.since);
+                .filter(|p| matches!(p.stage, PlacementStage::Reported(_)))
+                .map_or(at, |p| p.stage_since);
             match load.fetches.iter_mut().find(|fetch| fetch.image == *image) {
                 Some(fetch) => fetch.begun = begun.min(fetch.begun),
                 None => load.fetches.push(Fetch {
@@ -221,13 +226,13 @@
 
     /// Whether what is kept is what would be worked out now.
     #[cfg(test)]
-    pub fn slots_agree(&self) -> bool {
+    pub fn snapshots_agree(&self) -> bool {
         self.leader().is_none_or(|leader| {
-            let untouched = |id: &&MachineId| !leader.machines.touched.contains(id);
+            let untouched = |id: &&MachineId| !leader.machines.dirty.contains(id);
             let mut ids = leader.machines.all.keys().filter(untouched);
-            ids.all(|id| match leader.machines.slots.get(id) {
-                Some(seen) => self.see(id, seen.at).as_ref() == Some(seen),
-                None => self.see(id, self.now).is_none(),
+            ids.all(|id| match leader.machines.snapshots.get(id) {
+                Some(cached) => self.build_snapshot(id, cached.at).as_ref() == Some(cached),
+                None => self.build_snapshot(id, self.now).is_none(),
             })
         })
     }
@@ -235,10 +240,10 @@
 
 /// What the tasks on a machine take of it.
 #[derive(Debug, Default)]
-struct Load {
+struct MachineLoad {
     used: Resources,
     /// What services take, which don't end by themselves.
-    settled: Resources,
+    long_running: Resources,
     /// A start is unreported.
     locked: bool,
     fetches: Vec<Fetch>,
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -5,34 +5,36 @@
 //! touches the world is an [`Effect`] that the node's runtime carries out, and whose outcome
 //! comes back as a command.
 
-mod ends;
+mod autoscaling;
+mod completions;
+mod dependencies;
+mod heartbeats;
 mod leadership;
 mod machines;
 mod messages;
-mod pipelines;
-mod provisioning;
 mod records;
 mod recovery;
-mod reports;
 mod retry;
 mod rounds;
 #[cfg(test)]
 mod tests;
 mod watching;
 
-pub use messages::{Command, Effect, OpId, Reply, ReplyId, View};
+pub use messages::{CallId, Command, Effect, EngineStatus, Reply, ReplyId};
 pub use records::{
     FinalRecord, JobRecord, final_key, final_value, job_key, job_value, json_size, read_final,
     read_job,
 };
 
+use crate::bounded_map::BoundedMap;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
-use crate::constants as k;
-use crate::model::{Job, JobId, MachineId, MachineType, Ms, Placement, TaskId, Token, Types};
-use crate::recent::Recent;
+use crate::constants;
+use crate::model::{
+    FencingToken, Job, JobId, MachineId, MachineType, MachineTypes, Ms, Placement, TaskId,
+};
 use crate::settings::{Settings, Timing};
 use crate::store::{StoreCall, StoreError, StoreReply};
-use messages::Op;
+use messages::PendingCall;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use retry::Retry;
@@ -41,7 +43,7 @@
 
 /// The holder of the leader's key, as last seen in the state service.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Holder {
+struct ObservedLeader {
     node: String,
     term: u64,
     version: u64,
@@ -63,30 +65,30 @@
     version: u64,
     lease: u64,
     /// Send time of the last answered renewal, ms.
-    renewed: Ms,
+    lease_renewed_at: Ms,
     /// Time of the next renewal, ms.
     next_renewal_at: Ms,
     /// Whether a renewal is under way.
-    renewing: bool,
-    loading: Option<recovery::Loading>,
-    since: Ms,
+    renewal_in_flight: bool,
+    recovery: Option<recovery::Recovery>,
+    elected_at: Ms,
     machines: machines::Machines,
     /// Machines that were returned.
-    gone: Recent<MachineId, ()>,
+    returned_machines: BoundedMap<MachineId, ()>,
     rounds: rounds::Rounds,
-    ends: ends::Ends,
-    provisioning: provisioning::Provisioning,
+    completions: completions::Completions,
+    autoscaling: autoscaling::Autoscaling,
     /// Something changed that may allow a placement.
-    dirty: bool,
-    place_at: Ms,
+    needs_scheduling: bool,
+    next_scheduling_at: Ms,
 }
 
 impl Leader {
     /// The token to answer a machine with: of this term, and not below any that it has.
-    fn token_for(&self, machine: &MachineId, seen: Token) -> Token {
+    fn token_for(&self, machine: &MachineId, seen: FencingToken) -> FencingToken {
         let known = self.machines.get(machine);
-        let known = known.map_or(Token::default(), |m| m.token);
-        Token::first(self.term).max(known).max(seen)
+        let known = known.map_or(FencingToken::default(), |m| m.fencing_token);
+        FencingToken::first_of_term(self.term).max(known).max(seen)
     }
 }
 
@@ -95,25 +97,25 @@
     settings: Arc<Settings>,
     timing: Timing,
     now: Ms,
-    wall: u64,
+    unix_ms: u64,
     rng: SmallRng,
     out: Vec<Effect>,
-    next_op: OpId,
-    ops: BTreeMap<OpId, Op>,
-    types: Option<Arc<Types>>,
-    types_retry: Retry,
+    next_call_id: CallId,
+    ops: BTreeMap<CallId, PendingCall>,
+    machine_types: Option<Arc<MachineTypes>>,
+    machine_types_retry: Retry,
     /// Revision up to which `live/` is known; none while it has to be listed.
     revision: Option<u64>,
     listed: BTreeSet<JobId>,
     watch: Retry,
     /// Send time of the last answered watch: all changes before it are known.
     fresh_at: Option<Ms>,
-    holder: Option<Holder>,
+    observed_leader: Option<ObservedLeader>,
     jobs: BTreeMap<JobId, Job>,
-    pipelines: pipelines::Pipelines,
-    arrivals: crate::fleet::Arrivals,
+    dependencies: dependencies::Dependencies,
+    arrival_history: crate::autoscaler::ArrivalHistory,
     /// Reports whose answers wait for the end of the step, or for a round that is being written.
-    pending_answers: Vec<reports::PendingAnswer>,
+    pending_responses: Vec<heartbeats::PendingResponse>,
     /// Records that could not be read: left alone.
     unreadable: BTreeSet<String>,
     role: Role,
@@ -121,7 +123,7 @@
     /// Highest term heard of, from any source.
     term_heard: u64,
     /// Workers of a leader that can't be reached from here.
-    redirects: BTreeMap<MachineId, reports::Redirect>,
+    redirects: BTreeMap<MachineId, heartbeats::Redirect>,
     /// Time of the next removal of old redirects, ms.
     next_redirect_cleanup: Ms,
     /// When each peer was last heard of, and whether the state service answers it.
@@ -134,22 +136,22 @@
             timing: settings.timing(),
             settings,
             now: 0,
-            wall: 0,
+            unix_ms: 0,
             rng: SmallRng::seed_from_u64(seed),
             out: Vec::new(),
-            next_op: 0,
+            next_call_id: 0,
             ops: BTreeMap::new(),
-            types: None,
-            types_retry: Retry::default(),
+            machine_types: None,
+            machine_types_retry: Retry::default(),
             revision: None,
             listed: BTreeSet::new(),
             watch: Retry::default(),
             fresh_at: None,
-            holder: None,
+            observed_leader: None,
             jobs: BTreeMap::new(),
-            pipelines: pipelines::Pipelines::default(),
-            arrivals: crate::fleet::Arrivals::default(),
-            pending_answers: Vec::new(),
+            dependencies: dependencies::Dependencies::default(),
+            arrival_history: crate::autoscaler::ArrivalHistory::default(),
+            pending_responses: Vec::new(),
             unreadable: BTreeSet::new(),
             role: Role::Follower,
             campaign: Retry::default(),
@@ -164,55 +166,55 @@
     pub fn step(
         &mut self,
         now: Ms,
-        wall: u64,
+        unix_ms: u64,
         batch: impl IntoIterator<Item = Command>,
     ) -> Vec<Effect> {
-        self.now = self.now.max(k::CLOCK_START_MS + now);
-        self.wall = wall;
+        self.now = self.now.max(constants::CLOCK_START_MS + now);
+        self.unix_ms = unix_ms;
         for command in batch {
             match command {
-                Command::Report { report, reply } => self.on_report(report, reply),
-                Command::Count { job, reply } => self.on_count(&job, reply),
-                Command::StoreDone { op, result } => self.on_store(op, result),
-                Command::CloudDone { op, result } => self.on_cloud(op, result),
-                Command::Announced(announcement) => self.on_announced(announcement),
-                Command::Cancelled(job) => self.on_cancelled(&job),
-                Command::Step { job, reply } => self.on_asked(job, reply),
-                Command::Named { jobs, reply } => self.on_named(jobs, reply),
+                Command::Heartbeat { heartbeat, reply } => self.on_heartbeat(heartbeat, reply),
+                Command::CountTasks { job, reply } => self.on_count(&job, reply),
+                Command::StoreCallCompleted { call_id, result } => self.on_store(call_id, result),
+                Command::CloudCallCompleted { call_id, result } => self.on_cloud(call_id, result),
+                Command::PeerAnnounced(announcement) => self.on_announced(announcement),
+                Command::JobCancelled(job) => self.on_cancelled(&job),
+                Command::QueryBlockedJob { job, reply } => self.on_blocked_job_query(job, reply),
+                Command::FindUnknownJobs { jobs, reply } => self.on_find_unknown_jobs(jobs, reply),
             }
         }
         self.on_time();
-        self.answer_pending_reports();
+        self.respond_to_pending_heartbeats();
         std::mem::take(&mut self.out)
     }
 
-    pub fn view(&self) -> View {
-        let store_ok = self.store_ok();
+    pub fn view(&self) -> EngineStatus {
+        let store_reachable = self.store_reachable();
         // A node that alone has lost the state service cannot serve users, nor can one that has
         // lost its peers with it: they may well be served elsewhere. In an outage that all nodes
         // see, staying in the balancer's rotation gives users a prompt 503.
         let others_ok = self
             .peers
             .iter()
-            .any(|(node, (_, store_ok))| *store_ok && self.hears(node));
+            .any(|(node, (_, store_reachable))| *store_reachable && self.hears(node));
         // Questions are answered without the machine types; only new jobs need them.
-        let patience = k::CLOCK_START_MS + k::TYPES_PATIENCE_MS;
-        let types = self.types.is_some() || self.now > patience;
-        View {
-            ready: types
+        let patience = constants::CLOCK_START_MS + constants::MACHINE_TYPES_PATIENCE_MS;
+        let types_known = self.machine_types.is_some() || self.now > patience;
+        EngineStatus {
+            ready: types_known
                 && self.revision.is_some()
-                && (store_ok || !(others_ok || self.is_alone())),
+                && (store_reachable || !(others_ok || self.is_alone())),
             leading: self.leader().is_some(),
             term: self.leader().map_or(0, |l| l.term),
-            leader: self.holder.as_ref().map(|h| h.node.clone()),
-            types: self.types.clone(),
-            store_ok,
+            leader: self.observed_leader.as_ref().map(|h| h.node.clone()),
+            machine_types: self.machine_types.clone(),
+            store_reachable,
         }
     }
 
     /// Whether a peer was heard of a moment ago.
     fn hears(&self, node: &str) -> bool {
-        let lately = k::PEER_SILENT.as_millis() as u64;
+        let lately = constants::PEER_SILENCE_TIMEOUT.as_millis() as u64;
         self.peers
             .get(node)
             .is_some_and(|(at, _)| self.now.saturating_sub(*at) < lately)
@@ -235,8 +237,8 @@
         there.peek().is_some() && !there.any(|p| self.hears(&p.node))
     }
 
-    fn store_ok(&self) -> bool {
-        let slow = k::WATCH_MS + k::WATCH_SLACK.as_millis() as u64;
+    fn store_reachable(&self) -> bool {
+        let slow = constants::WATCH_TIMEOUT_MS + constants::WATCH_SLACK.as_millis() as u64;
         self.fresh_at
             .is_some_and(|at| self.now.saturating_sub(at) < slow)
     }
@@ -257,90 +259,95 @@
 
     /// Where a task is placed, if it is.
     fn placement(&self, task: &TaskId) -> Option<&Placement> {
-        self.jobs.get(&task.job)?.live.get(&task.index)
+        self.jobs.get(&task.job)?.placements.get(&task.index)
     }
 
     fn machine_type(&self, name: &str) -> Option<&MachineType> {
-        self.types.as_ref().and_then(|types| types.get(name))
+        self.machine_types
+            .as_ref()
+            .and_then(|types| types.get(name))
     }
 
-    fn store(&mut self, op: Op, call: StoreCall) {
-        let urgent = matches!(
-            op,
-            Op::RenewLease { .. }
-                | Op::CampaignLease { .. }
-                | Op::CampaignCommit { .. }
-                | Op::CampaignTerm
-        );
-        let id = self.op(op);
-        self.out.push(Effect::Store {
-            op: id,
+    fn call_store(&mut self, pending: PendingCall, call: StoreCall) {
+        let urgent = pending.is_urgent();
+        let call_id = self.register_call(pending);
+        self.out.push(Effect::CallStore {
+            call_id,
             call,
             urgent,
         });
     }
 
-    fn cloud(&mut self, op: Op, call: CloudCall) {
-        let id = self.op(op);
-        self.out.push(Effect::Cloud { op: id, call });
+    fn call_cloud(&mut self, pending: PendingCall, call: CloudCall) {
+        let call_id = self.register_call(pending);
+        self.out.push(Effect::CallCloud { call_id, call });
     }
 
-    fn op(&mut self, op: Op) -> OpId {
-        self.next_op += 1;
-        self.ops.insert(self.next_op, op);
-        self.next_op
+    fn register_call(&mut self, pending: PendingCall) -> CallId {
+        self.next_call_id += 1;
+        self.ops.insert(self.next_call_id, pending);
+        self.next_call_id
     }
 
-    fn on_store(&mut self, op: OpId, result: Result<StoreReply, StoreError>) {
-        match self.ops.remove(&op) {
-            Some(Op::ListLive { first }) => self.on_listed_live(first, result),
-            Some(Op::Watch { sent }) => self.on_watched(sent, result),
-            Some(Op::CampaignLease { sent }) => self.on_campaign_lease(sent, result),
-            Some(Op::CampaignTerm) => self.on_term_read(result),
-            Some(Op::CampaignCommit { term }) => self.on_elected(term, result),
-            Some(Op::RenewLease { sent }) => self.on_lease_renewed(sent, result),
-            Some(Op::Load) => self.on_loaded(result),
-            Some(Op::Round { number }) => self.on_round_written(number, result),
-            Some(Op::OrphanedRounds) => self.on_rounds_listed(result),
-            Some(Op::Ends(batch)) => self.on_ends_written(batch, result),
-            Some(Op::Progress { key }) => self.on_progress_read(&key, result),
-            Some(Op::End { job }) => self.on_end_read(&job, result),
-            Some(Op::Refresh { sent, after }) => self.on_refreshed(sent, after, result),
+    fn on_store(&mut self, call_id: CallId, result: Result<StoreReply, StoreError>) {
+        match self.ops.remove(&call_id) {
+            Some(PendingCall::ListLiveRecords { first_revision }) => {
+                self.on_listed_live(first_revision, result)
+            }
+            Some(PendingCall::WatchLiveRecords { sent_at }) => self.on_watched(sent_at, result),
+            Some(PendingCall::GrantCampaignLease { sent_at }) => {
+                self.on_campaign_lease(sent_at, result)
+            }
+            Some(PendingCall::ReadTerm) => self.on_term_read(result),
+            Some(PendingCall::CommitElection { term }) => self.on_elected(term, result),
+            Some(PendingCall::RenewLease { sent_at }) => self.on_lease_renewed(sent_at, result),
+            Some(PendingCall::ReadRecoveryPage) => self.on_recovery_page(result),
+            Some(PendingCall::WriteRound { number }) => self.on_round_written(number, result),
+            Some(PendingCall::ListOrphanedRounds) => self.on_rounds_listed(result),
+            Some(PendingCall::WriteCompletions(batch)) => {
+                self.on_completions_written(batch, result)
+            }
+            Some(PendingCall::ReadProgressRecord { key }) => self.on_progress_read(&key, result),
+            Some(PendingCall::ReadFinalRecord { job }) => self.on_final_record_read(&job, result),
+            Some(PendingCall::RefreshLiveRecords { sent_at, after }) => {
+                self.on_refreshed(sent_at, after, result)
+            }
             // The remaining kinds are the cloud's, or nobody waits.
             _ => {}
         }
     }
 
-    fn on_cloud(&mut self, op: OpId, result: Result<CloudReply, CloudError>) {
-        match self.ops.remove(&op) {
-            Some(Op::Types) => self.on_types(result),
-            Some(Op::Machines) => self.on_machines(result),
-            Some(Op::Rent(offer)) => self.on_rented(offer, result),
-            Some(Op::Return(machines)) => self.on_returned(machines, result),
+    fn on_cloud(&mut self, call_id: CallId, result: Result<CloudReply, CloudError>) {
+        match self.ops.remove(&call_id) {
+            Some(PendingCall::ListMachineTypes) => self.on_types(result),
+            Some(PendingCall::ListMachines) => self.on_machines(result),
+            Some(PendingCall::RentMachines(offer)) => self.on_rented(offer, result),
+            Some(PendingCall::ReturnMachines(machines)) => self.on_returned(machines, result),
             _ => {}
         }
     }
 
     fn on_types(&mut self, result: Result<CloudReply, CloudError>) {
         match result {
-            Ok(CloudReply::Types(list)) => {
-                let types = list.types.iter().map(MachineType::read);
-                self.types = Some(Arc::new(types.map(|t| (t.name.clone(), t)).collect()));
-                self.types_retry.worked(self.now + k::TYPES_EVERY_MS);
+            Ok(CloudReply::MachineTypes(list)) => {
+                let types = list.machine_types.iter().map(MachineType::from);
+                self.machine_types = Some(Arc::new(types.map(|t| (t.name.clone(), t)).collect()));
+                self.machine_types_retry
+                    .worked(self.now + constants::MACHINE_TYPES_INTERVAL_MS);
             }
             other => {
                 if let Err(e) = other {
                     tracing::debug!("machine types: {e}");
                 }
-                self.types_retry.failed(self.now, &mut self.rng);
+                self.machine_types_retry.failed(self.now, &mut self.rng);
             }
         }
     }
 
     fn on_count(&mut self, job: &JobId, reply: ReplyId) {
         let reply_with = match self.jobs.get(job) {
-            Some(job) if self.leader().is_some() => Reply::Counts {
-                done: job.done.len(),
+            Some(job) if self.leader().is_some() => Reply::TaskCounts {
+                completed: job.completed.len(),
                 running: job.running(),
             },
             _ => Reply::Unavailable,
@@ -356,20 +363,20 @@
     fn on_time(&mut self) {
         let leading = self.leader().is_some();
         // Spot prices matter to the leader only; the others need the types once.
-        if self.types_retry.due(self.now) && (leading || self.types.is_none()) {
-            self.types_retry.busy = true;
-            self.cloud(Op::Types, CloudCall::Types);
+        if self.machine_types_retry.due(self.now) && (leading || self.machine_types.is_none()) {
+            self.machine_types_retry.busy = true;
+            self.call_cloud(PendingCall::ListMachineTypes, CloudCall::ListMachineTypes);
         }
         self.watch_when_due();
-        self.advance_pipelines();
+        self.advance_dependencies();
         self.maintain_leadership();
-        self.load_when_due();
-        if self.leader().is_some_and(|l| l.loading.is_none()) {
+        self.recover_when_due();
+        if self.leader().is_some_and(|l| l.recovery.is_none()) {
             self.housekeep_machines_when_due();
-            self.reconcile_rounds();
-            self.place_when_due();
-            self.write_ends_when_due();
-            self.provision_when_due();
+            self.maintain_rounds();
+            self.schedule_when_due();
+            self.write_completions_when_due();
+            self.autoscale_when_due();
             self.consolidate_when_due();
         }
     }
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -10,11 +10,11 @@
 //! | `work/<id>/<chunk>` | the same, of a large array in the larger chunks of the version before pipelines | read only |
 //! | `rounds/<number>`, `rounds/<number>.<part>` | the starts of a round; its undo is to stop each of them | the leader |
 
-use crate::constants::{DONE_CHUNK, DONE_PART};
+use crate::constants::{LEGACY_PROGRESS_RECORD_TASKS, PROGRESS_RECORD_TASKS};
 use crate::model::JobId;
 use crate::wire;
-use crate::wire::store::Txn;
-use crate::wire::user::{Job, JobState};
+use crate::wire::store::Transaction;
+use crate::wire::user::{JobState, JobSubmission};
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -32,7 +32,7 @@
 pub struct JobRecord {
     /// While it names jobs that it awaits, none of its tasks may start: the leader takes the names
     /// out once all of them are durably done.
-    pub job: Job,
+    pub job: JobSubmission,
     /// Time of day of the submission, ms.
     pub at_ms: u64,
     pub cancelled: bool,
@@ -46,9 +46,9 @@
 #[derive(Clone, Serialize, Deserialize)]
 struct StoredJob {
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    job: Option<Job>,
+    job: Option<JobSubmission>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    step: Option<Job>,
+    step: Option<JobSubmission>,
     at_ms: u64,
     cancelled: bool,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -84,7 +84,7 @@
 }
 
 impl JobRecord {
-    pub fn new(job: Job, at_ms: u64) -> Self {
+    pub fn new(job: JobSubmission, at_ms: u64) -> Self {
         JobRecord {
             job,
             at_ms,
@@ -95,22 +95,22 @@
 
     /// Whether it waits for other jobs.
     pub fn waits(&self) -> bool {
-        !self.cancelled && !self.job.awaits.is_empty()
+        !self.cancelled && !self.job.depends_on.is_empty()
     }
 
     /// The same job, cancelled. What only placing needs is left out, so that the record of a job
     /// accepted under larger limits fits under smaller ones.
     pub fn cancelled(mut self) -> Self {
         self.cancelled = true;
-        self.job.types = None;
-        self.job.awaits = Vec::new();
+        self.job.machine_types = None;
+        self.job.depends_on = Vec::new();
         self
     }
 
     /// The same job when all that it awaited is done.
     pub fn ready(mut self, at_ms: u64) -> Self {
         self.ready_ms = Some(at_ms);
-        self.job.awaits = Vec::new();
+        self.job.depends_on = Vec::new();
         self
     }
 }
@@ -156,7 +156,7 @@
 /// The record of that part of an array of so many tasks. A small array has one, under the key that
 /// the version before pipelines uses for it as well.
 pub fn work_key(id: &JobId, tasks: u32, part: u32) -> String {
-    match tasks <= DONE_PART {
+    match tasks <= PROGRESS_RECORD_TASKS {
         true => format!("{WORK}{id}/{part}"),
         false => format!("{WORK}{id}/{part}p"),
     }
@@ -166,8 +166,14 @@
 pub fn work_of_key(key: &str) -> Option<(JobId, u32)> {
     let (job, part) = key.strip_prefix(WORK)?.rsplit_once('/')?;
     let first = match part.strip_suffix('p') {
-        Some(part) => part.parse::<u32>().ok()?.checked_mul(DONE_PART)?,
-        None => part.parse::<u32>().ok()?.checked_mul(DONE_CHUNK)?,
+        Some(part) => part
+            .parse::<u32>()
+            .ok()?
+            .checked_mul(PROGRESS_RECORD_TASKS)?,
+        None => part
+            .parse::<u32>()
+            .ok()?
+            .checked_mul(LEGACY_PROGRESS_RECORD_TASKS)?,
     };
     Some((job.into(), first))
 }
@@ -188,10 +194,10 @@
 
 /// Adds to a transaction a job's end: its final record comes and its live one goes, if that still has
 /// this version. Whoever changed it meanwhile wins.
-pub fn end(txn: Txn, id: &str, version: u64, state: JobState, tasks: u64) -> Txn {
+pub fn end(txn: Transaction, id: &str, version: u64, state: JobState, tasks: u64) -> Transaction {
     let live = job_key(id);
     let last = FinalRecord { state, tasks };
-    txn.when(&live, version)
+    txn.compare(&live, version)
         .put(final_key(id), final_value(&last))
         .delete(live)
 }
--- a/src/engine/records/fixture_tests.rs
+++ b/src/engine/records/fixture_tests.rs
@@ -3,9 +3,9 @@
 //! The fixtures never change: a difference means that the records of a running cluster are lost.
 
 use super::*;
-use crate::constants::{DONE_CHUNK, DONE_PART};
+use crate::constants::{LEGACY_PROGRESS_RECORD_TASKS, PROGRESS_RECORD_TASKS};
 use crate::model::TaskSet;
-use crate::wire::user::{Kind, Priority};
+use crate::wire::user::{JobKind, Priority};
 use fixture_table::FixtureTable;
 use std::fmt::Debug;
 
@@ -15,12 +15,12 @@
 const SUBMITTED_MS: u64 = 1_700_000_000_000;
 const READY_MS: u64 = 1_700_000_000_500;
 
-fn minimal_job() -> Job {
-    Job {
+fn minimal_job() -> JobSubmission {
+    JobSubmission {
         id: "run-1".into(),
         class: "train".into(),
         team: "vision".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Low,
         tasks: 1,
         cpus: 0.0,
@@ -28,46 +28,46 @@
         memory_gb: 0.0,
         image: "img-1".into(),
         image_gb: 0.0,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 0.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        single_zone: false,
+        spread_zones: false,
+        allows_spot: false,
+        expected_duration_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_cost_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
     }
 }
 
 /// A job with every field set, but awaiting none.
-fn full_job() -> Job {
-    Job {
+fn full_job() -> JobSubmission {
+    JobSubmission {
         id: "run-000412".into(),
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         priority: Priority::Production,
         tasks: 100_000,
         cpus: 8.5,
         gpus: 1.0,
         memory_gb: 64.0,
         image_gb: 6.2,
-        types: Some(vec!["g8".into(), "c32".into()]),
+        machine_types: Some(vec!["g8".into(), "c32".into()]),
         zone: Some("east".into()),
-        one_zone: true,
-        spread: true,
-        spot: true,
-        estimate_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 4.0,
+        single_zone: true,
+        spread_zones: true,
+        allows_spot: true,
+        expected_duration_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_cost_s: 4.0,
         deadline_s: Some(900.0),
         ..minimal_job()
     }
 }
 
-fn waiting_job() -> Job {
-    Job {
-        awaits: vec!["run-000410".into(), "run-000411".into()],
+fn waiting_job() -> JobSubmission {
+    JobSubmission {
+        depends_on: vec!["run-000410".into(), "run-000411".into()],
         ..full_job()
     }
 }
@@ -83,7 +83,11 @@
     assert_eq!(wire::encode(&value(record)), pinned, "{name}");
     let stored: Value = rmp_serde::from_slice(&pinned).unwrap();
     assert_eq!(read::<T>(stored).as_ref(), Some(record), "{name}");
-    assert_eq!(wire::decode::<T>(&pinned).as_ref(), Ok(record), "{name}");
+    assert_eq!(
+        wire::decode::<T>(&pinned).ok().as_ref(),
+        Some(record),
+        "{name}"
+    );
 }
 
 #[test]
@@ -153,9 +157,9 @@
     both_ways(&mut table, "round", &round);
     let empty_round = RoundRecord { starts: Vec::new() };
     both_ways(&mut table, "round_empty", &empty_round);
-    let mut done = TaskSet::full(DONE_PART + 70);
+    let mut done = TaskSet::full(PROGRESS_RECORD_TASKS + 70);
     done.remove(3);
-    done.remove(DONE_PART + 64);
+    done.remove(PROGRESS_RECORD_TASKS + 64);
     for (name, part) in [("work", 0), ("work_part_1", 1), ("work_empty", 2)] {
         let done = done.part_text(part);
         both_ways(&mut table, name, &WorkRecord { done });
@@ -167,7 +171,7 @@
 fn ends_of_jobs_are_written_as_pinned() {
     let mut table = FixtureTable::open("records/ends.txt");
     for (name, state) in [("done", JobState::Done), ("cancelled", JobState::Cancelled)] {
-        let txn = end(Txn::default(), "run-000412", 41, state, 16);
+        let txn = end(Transaction::default(), "run-000412", 41, state, 16);
         assert_eq!(wire::encode(&txn), table.take_bytes(name), "{name}");
     }
     table.finish();
@@ -188,8 +192,14 @@
         ("job", job_key("run-000412")),
         ("final", final_key("run-000412")),
         ("work_small", work_key(&id, 1, 0)),
-        ("work_largest_small", work_key(&id, DONE_PART, 0)),
-        ("work_smallest_large", work_key(&id, DONE_PART + 1, 0)),
+        (
+            "work_largest_small",
+            work_key(&id, PROGRESS_RECORD_TASKS, 0),
+        ),
+        (
+            "work_smallest_large",
+            work_key(&id, PROGRESS_RECORD_TASKS + 1, 0),
+        ),
         ("work_part", work_key(&id, large, 3)),
         ("round", round_key(0x10_0001, 0)),
         ("round_part", round_key(0x10_0001, 12)),
@@ -206,8 +216,8 @@
     let id = JobId::from("run-000412");
     for (name, first) in [
         ("work_small", 0),
-        ("work_part", 3 * DONE_PART),
-        ("work_old_chunk", 12 * DONE_CHUNK),
+        ("work_part", 3 * PROGRESS_RECORD_TASKS),
+        ("work_old_chunk", 12 * LEGACY_PROGRESS_RECORD_TASKS),
     ] {
         let key = table.take_text(name);
         assert_eq!(work_of_key(&key), Some((id.clone(), first)), "{name}");
--- a/src/engine/records/tests.rs
+++ b/src/engine/records/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::model::TaskSet;
-use crate::wire::user::{Kind, tests::job};
+use crate::wire::user::{JobKind, tests::job};
 
 #[test]
 fn records_survive_the_state_service() {
-    let record = JobRecord::new(job("run-7", Kind::Gang, 2), 1_700_000_000_000);
+    let record = JobRecord::new(job("run-7", JobKind::Gang, 2), 1_700_000_000_000);
     assert_eq!(read_job(job_value(&record)).unwrap(), record);
     let round = RoundRecord {
         starts: vec![("run-7".into(), "host-1".into(), vec![0, 1])],
@@ -14,12 +14,12 @@
     assert_eq!(round_of_key(&round_key(1 << 40, 3)), Some(1 << 40));
     assert_eq!(
         work_of_key("work/run-7/2"),
-        Some(("run-7".into(), 2 * DONE_CHUNK))
+        Some(("run-7".into(), 2 * LEGACY_PROGRESS_RECORD_TASKS))
     );
     let large = 100_000;
     assert_eq!(
         work_of_key(&work_key(&"run-7".into(), large, 3)),
-        Some(("run-7".into(), 3 * DONE_PART))
+        Some(("run-7".into(), 3 * PROGRESS_RECORD_TASKS))
     );
     assert!(read::<RoundRecord>(Value::from("x")).is_none());
 }
@@ -45,7 +45,7 @@
 }
 
 /// Records as commit 7111968, the first version with pipelines, wrote them.
-macro_rules! pipelines {
+macro_rules! dependencies {
     ($name:literal) => {
         fixture!("pipelines", $name)
     };
@@ -56,8 +56,8 @@
 }
 
 fn gang() -> JobRecord {
-    let mut job = job("run-7", Kind::Gang, 2);
-    job.types = Some(vec!["g8".into()]);
+    let mut job = job("run-7", JobKind::Gang, 2);
+    job.machine_types = Some(vec!["g8".into()]);
     job.zone = Some("east".into());
     job.deadline_s = Some(900.0);
     JobRecord::new(job, 1_700_000_000_000)
@@ -120,9 +120,12 @@
         let record: WorkRecord = stored(bytes).unwrap();
         done.add_text(first, &record.done, 10_000).unwrap();
     }
-    let expected = [0, 5_000, DONE_CHUNK + 70];
+    let expected = [0, 5_000, LEGACY_PROGRESS_RECORD_TASKS + 70];
     assert_eq!(done.iter().collect::<Vec<_>>(), expected);
-    assert_eq!(work_key(&"run-7".into(), DONE_PART, 0), "work/run-7/0");
+    assert_eq!(
+        work_key(&"run-7".into(), PROGRESS_RECORD_TASKS, 0),
+        "work/run-7/0"
+    );
 }
 
 /// The production version reads a job's record as this, and ignores what it does not know.
@@ -138,7 +141,7 @@
 #[test]
 fn the_production_version_never_takes_a_waiting_job_for_one_that_may_start() {
     let mut waiting = gang();
-    waiting.job.awaits = vec!["run-6".into()];
+    waiting.job.depends_on = vec!["run-6".into()];
     let as_production = |record: &JobRecord| read::<Production>(job_value(record));
     assert!(as_production(&waiting).is_none());
     assert_eq!(read_job(job_value(&waiting)), Some(waiting.clone()));
@@ -153,10 +156,10 @@
 }
 
 /// A job of the first version with pipelines, submitted two seconds after its cluster began.
-fn submitted(id: &str, kind: Kind, tasks: u64, awaits: &[&str]) -> JobRecord {
+fn submitted(id: &str, kind: JobKind, tasks: u64, awaits: &[&str]) -> JobRecord {
     let mut job = job(id, kind, tasks);
-    job.estimate_s = 10.0;
-    job.awaits = awaits.iter().map(|id| (*id).to_owned()).collect();
+    job.expected_duration_s = 10.0;
+    job.depends_on = awaits.iter().map(|id| (*id).to_owned()).collect();
     JobRecord::new(job, 2_000)
 }
 
@@ -175,23 +178,23 @@
 /// ended.
 #[test]
 fn records_of_jobs_in_pipelines_are_read_and_written_as_by_the_first_version_with_them() {
-    let mut waiting = submitted("run-8", Kind::Gang, 2, &["run-7"]);
-    waiting.job.types = Some(vec!["g8".into()]);
+    let mut waiting = submitted("run-8", JobKind::Gang, 2, &["run-7"]);
+    waiting.job.machine_types = Some(vec!["g8".into()]);
     waiting.job.deadline_s = Some(900.0);
-    reads_and_writes(pipelines!("waiting"), &waiting);
+    reads_and_writes(dependencies!("waiting"), &waiting);
     assert!(waiting.waits());
-    let for_two = submitted("run-10", Kind::Array, 4, &["run-8", "run-9"]);
-    reads_and_writes(pipelines!("waiting_for_two"), &for_two);
-    let called_off = submitted("run-9", Kind::Array, 3, &["run-7"]).cancelled();
-    reads_and_writes(pipelines!("waiting_cancelled"), &called_off);
-    let ready_ms = stored::<JobRecord>(pipelines!("ready")).and_then(|record| record.ready_ms);
+    let for_two = submitted("run-10", JobKind::Array, 4, &["run-8", "run-9"]);
+    reads_and_writes(dependencies!("waiting_for_two"), &for_two);
+    let called_off = submitted("run-9", JobKind::Array, 3, &["run-7"]).cancelled();
+    reads_and_writes(dependencies!("waiting_cancelled"), &called_off);
+    let ready_ms = stored::<JobRecord>(dependencies!("ready")).and_then(|record| record.ready_ms);
     let ready = waiting.ready(ready_ms.expect("when it was released"));
-    reads_and_writes(pipelines!("ready"), &ready);
+    reads_and_writes(dependencies!("ready"), &ready);
     assert!(!ready.waits() && ready.ready_ms > Some(ready.at_ms));
     for (bytes, state, tasks) in [
-        (pipelines!("final_done"), JobState::Done, 2),
+        (dependencies!("final_done"), JobState::Done, 2),
         (
-            pipelines!("final_aborted_dependant"),
+            dependencies!("final_aborted_dependant"),
             JobState::Cancelled,
             4,
         ),
@@ -207,8 +210,8 @@
     let tasks = 4_200;
     let mut done = TaskSet::default();
     for (part, key, bytes) in [
-        (0, "work/run-1/0p", pipelines!("work0p")),
-        (1, "work/run-1/1p", pipelines!("work1p")),
+        (0, "work/run-1/0p", dependencies!("work0p")),
+        (1, "work/run-1/1p", dependencies!("work1p")),
     ] {
         assert_eq!(work_key(&"run-1".into(), tasks, part), key);
         let (_, first) = work_of_key(key).unwrap();
@@ -229,9 +232,9 @@
     let number = 0x10_0001;
     let mut tasks = Vec::new();
     for (part, key, bytes) in [
-        (0, "rounds/0000000000100001", pipelines!("round")),
-        (1, "rounds/0000000000100001.1", pipelines!("round1")),
-        (2, "rounds/0000000000100001.2", pipelines!("round2")),
+        (0, "rounds/0000000000100001", dependencies!("round")),
+        (1, "rounds/0000000000100001.1", dependencies!("round1")),
+        (2, "rounds/0000000000100001.2", dependencies!("round2")),
     ] {
         assert_eq!(round_key(number, part), key);
         assert_eq!(round_of_key(key), Some(number));
--- a/src/engine/recovery.rs
+++ b/src/engine/recovery.rs
@@ -5,24 +5,26 @@
 
 use super::records::{self, ROUNDS, RoundRecord, WORK, WorkRecord};
 use super::rounds::{RoundPart, StartGroup};
-use super::{Engine, Op, Retry, Role};
-use crate::model::{JobId, Machine, MachineId, Placement, SeqNo, Stage, TaskId};
+use super::{Engine, PendingCall, Retry, Role};
+use crate::model::{
+    HeartbeatSequence, JobId, Machine, MachineId, Placement, PlacementStage, TaskId,
+};
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::store::Item;
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Part {
+pub enum RecoveryStage {
     /// The watch has yet to tell all that was durable when office was taken.
     #[default]
-    Live,
-    Work,
+    LiveRecords,
+    Progress,
     Rounds,
 }
 
 /// How far a new leader's reading has come.
 #[derive(Debug, Default)]
-pub(super) struct Loading {
-    part: Part,
+pub(super) struct Recovery {
+    stage: RecoveryStage,
     /// The last key read of this part.
     after: Option<String>,
     retry: Retry,
@@ -34,71 +36,73 @@
     /// again. (A watch may lag by seconds when the state service is slow.) A read that fails is
     /// repeated: in an outage nobody else fares better, and the workers keep their work meanwhile; a
     /// leader that alone is refused loses its lease.
-    pub(super) fn load_when_due(&mut self) {
+    pub(super) fn recover_when_due(&mut self) {
         let (now, known) = (self.now, self.revision);
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(loading) = &mut leader.loading else {
+        let Some(recovery) = &mut leader.recovery else {
             return;
         };
-        if loading.part == Part::Live && known.is_some_and(|known| known >= leader.version) {
-            loading.part = Part::Work;
+        if recovery.stage == RecoveryStage::LiveRecords
+            && known.is_some_and(|known| known >= leader.version)
+        {
+            recovery.stage = RecoveryStage::Progress;
         }
-        let prefix = match loading.part {
-            Part::Live => return,
-            Part::Work => WORK,
-            Part::Rounds => ROUNDS,
+        let prefix = match recovery.stage {
+            RecoveryStage::LiveRecords => return,
+            RecoveryStage::Progress => WORK,
+            RecoveryStage::Rounds => ROUNDS,
         };
-        if !loading.retry.due(now) {
+        if !recovery.retry.due(now) {
             return;
         }
-        loading.retry.busy = true;
+        recovery.retry.busy = true;
         let call = StoreCall::List {
             prefix: prefix.into(),
-            after: loading.after.clone(),
+            after: recovery.after.clone(),
         };
-        self.store(Op::Load, call);
+        self.call_store(PendingCall::ReadRecoveryPage, call);
     }
 
     /// A page of records was read, or could not be.
-    pub(super) fn on_loaded(&mut self, result: Result<StoreReply, StoreError>) {
+    pub(super) fn on_recovery_page(&mut self, result: Result<StoreReply, StoreError>) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else {
             return;
         };
-        let Some(loading) = &mut leader.loading else {
+        let Some(recovery) = &mut leader.recovery else {
             return;
         };
-        let part = loading.part;
+        let stage = recovery.stage;
         let page = match result {
-            Ok(StoreReply::Listed(page)) => page,
+            Ok(StoreReply::Listing(page)) => page,
             other => {
                 if let Err(e) = other {
                     tracing::info!("records could not be read: {e}");
                 }
-                return loading.retry.failed(now, &mut self.rng);
+                return recovery.retry.failed(now, &mut self.rng);
             }
         };
-        loading.retry.worked(now);
+        recovery.retry.worked(now);
         let last = page.items.last().map(|item| item.key.clone());
-        let next = last.filter(|_| page.more);
+        let next = last.filter(|_| page.has_more);
         for item in page.items {
-            self.recover_record(part, item);
+            self.recover_record(stage, item);
         }
-        if !self.has_more_to_load(part, next) {
-            self.finish_loading();
+        if !self.has_more_to_recover(stage, next) {
+            self.finish_recovery();
         }
     }
 
     /// Takes in one record of that part.
-    fn recover_record(&mut self, part: Part, item: Item) {
-        let read = match part {
-            Part::Rounds => {
+    fn recover_record(&mut self, stage: RecoveryStage, item: Item) {
+        let read = match stage {
+            RecoveryStage::Rounds => {
                 records::read(item.value).and_then(|record| self.recover_round(&item.key, record))
             }
-            Part::Live | Part::Work => records::read(item.value)
-                .and_then(|record| self.recover_work(&item.key, record, item.version)),
+            RecoveryStage::LiveRecords | RecoveryStage::Progress => records::read(item.value)
+                .and_then(|record| self.recover_progress(&item.key, record, item.version)),
         };
         if read.is_none() {
             tracing::error!(key = item.key, "record can't be read, left alone");
@@ -106,25 +110,25 @@
     }
 
     /// Goes on to the next page, which follows that key, or to the next part; whether there is one.
-    fn has_more_to_load(&mut self, part: Part, next: Option<String>) -> bool {
-        let Some(loading) = self.leader_mut().and_then(|l| l.loading.as_mut()) else {
+    fn has_more_to_recover(&mut self, stage: RecoveryStage, next: Option<String>) -> bool {
+        let Some(recovery) = self.leader_mut().and_then(|l| l.recovery.as_mut()) else {
             return false;
         };
         let goes_on = next.is_some();
-        loading.after = next;
-        if !goes_on && part != Part::Rounds {
-            loading.part = Part::Rounds;
+        recovery.after = next;
+        if !goes_on && stage != RecoveryStage::Rounds {
+            recovery.stage = RecoveryStage::Rounds;
             return true;
         }
         goes_on
     }
 
     /// All is read: machines get the tasks that are placed on them.
-    fn finish_loading(&mut self) {
+    fn finish_recovery(&mut self) {
         if let Role::Leader(leader) = &mut self.role {
-            leader.loading = None;
+            leader.recovery = None;
             for (id, job) in &self.jobs {
-                for (index, placement) in &job.live {
+                for (index, placement) in &job.placements {
                     if let Some(machine) = leader.machines.get_mut(&placement.machine) {
                         machine.tasks.insert(TaskId {
                             job: id.clone(),
@@ -134,27 +138,28 @@
                 }
             }
         }
-        let placed: usize = self.jobs.values().map(|j| j.live.len()).sum();
+        let placed: usize = self.jobs.values().map(|j| j.placements.len()).sum();
         tracing::info!(jobs = self.jobs.len(), placed, "records read");
-        self.pipelines.mark_changed();
+        self.dependencies.mark_changed();
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
-            self.settle_job(&id);
+            self.finish_job_if_over(&id);
         }
     }
 
-    fn recover_work(&mut self, key: &str, record: WorkRecord, version: u64) -> Option<()> {
+    fn recover_progress(&mut self, key: &str, record: WorkRecord, version: u64) -> Option<()> {
         let (id, first) = records::work_of_key(key)?;
         let Some(job) = self.jobs.get_mut(&id) else {
             // Its job is over; the leader that ended it did not get to this.
             if let Some(leader) = self.leader_mut() {
-                leader.ends.remove(key.to_owned());
+                leader.completions.remove(key.to_owned());
             }
             return Some(());
         };
-        job.written.add_text(first, &record.done, job.spec.tasks)?;
-        job.progress.insert(key.to_owned(), version);
-        let done: Vec<u32> = job.written.iter().collect();
+        job.durable_completions
+            .add_text(first, &record.done, job.spec.tasks)?;
+        job.progress_records.insert(key.to_owned(), version);
+        let done: Vec<u32> = job.durable_completions.iter().collect();
         for index in done {
             job.complete(index);
         }
@@ -198,24 +203,27 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let older = job.live.get(&index).is_some_and(|p| p.attempt > attempt);
-        if older || index >= job.spec.tasks || job.done.contains(index) {
+        let older = job
+            .placements
+            .get(&index)
+            .is_some_and(|p| p.attempt > attempt);
+        if older || index >= job.spec.tasks || job.completed.contains(index) {
             return;
         }
         job.pending.remove(index);
         let placement = Placement {
             machine: machine.clone(),
             attempt,
-            stage: Stage::Starting {
-                sent: Some(SeqNo::default()),
+            stage: PlacementStage::Starting {
+                sent: Some(HeartbeatSequence::default()),
                 resends: u32::MAX,
             },
-            since: now,
-            stop: None,
+            stage_since: now,
+            stop_request: None,
         };
-        job.live.insert(index, placement);
+        job.placements.insert(index, placement);
         if !job.is_open() {
-            job.stop_all(0, now);
+            job.stop_all_tasks(0, now);
         }
     }
 }
--- a/src/engine/retry.rs
+++ b/src/engine/retry.rs
@@ -1,6 +1,6 @@
 //! Repeating calls that fail.
 
-use crate::constants as k;
+use crate::constants;
 use crate::model::Ms;
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -34,7 +34,7 @@
     /// The call failed: it is repeated after a pause twice as long as the last one.
     pub(super) fn failed(&mut self, now: Ms, rng: &mut SmallRng) {
         self.busy = false;
-        self.pause = (self.pause * 2).clamp(k::RETRY_FIRST_MS, k::RETRY_MOST_MS);
+        self.pause = (self.pause * 2).clamp(constants::RETRY_INITIAL_MS, constants::RETRY_MAX_MS);
         // Jitter keeps three nodes from asking in step after an outage.
         self.at = now + rng.random_range(self.pause / 2..=self.pause);
     }
--- a/src/engine/rounds/housekeeping.rs
+++ b/src/engine/rounds/housekeeping.rs
@@ -1,10 +1,10 @@
 //! Housekeeping of rounds: starts that stall are undone, and records that nobody needs are removed.
 
 use super::Round;
-use crate::constants as k;
+use crate::constants;
 use crate::engine::records::{self, ROUNDS};
-use crate::engine::{Engine, Op, Retry, Role};
-use crate::model::{Job, JobId, Ms, Stage, TaskId};
+use crate::engine::{Engine, PendingCall, Retry, Role};
+use crate::model::{Job, JobId, Ms, PlacementStage, TaskId};
 use crate::store::{StoreCall, StoreError, StoreReply};
 use std::collections::BTreeMap;
 
@@ -26,7 +26,8 @@
     /// A transaction has got no answer and may be carried out late.
     pub fn expect(&mut self, now: Ms) {
         self.last_unanswered = now;
-        self.at.get_or_insert(now + k::ORPHANED_ROUNDS_AFTER_MS);
+        self.at
+            .get_or_insert(now + constants::ORPHANED_ROUND_SEARCH_DELAY_MS);
     }
 
     fn due(&self, now: Ms) -> bool {
@@ -35,7 +36,7 @@
 
     /// All records were read, by a search that began at `self.at`.
     fn finish(&mut self) {
-        let again = self.last_unanswered + k::ORPHANED_ROUNDS_AFTER_MS;
+        let again = self.last_unanswered + constants::ORPHANED_ROUND_SEARCH_DELAY_MS;
         self.at = self.at.filter(|began| *began < again).map(|_| again);
         self.after = None;
     }
@@ -43,7 +44,7 @@
 
 impl Engine {
     /// Undoes starts that stall, and has records of finished rounds removed.
-    pub(in crate::engine) fn reconcile_rounds(&mut self) {
+    pub(in crate::engine) fn maintain_rounds(&mut self) {
         self.search_orphaned_rounds();
         let now = self.now;
         let Some(leader) = self.leader_mut() else {
@@ -52,17 +53,17 @@
         if now < leader.rounds.housekeeping_at {
             return;
         }
-        leader.rounds.housekeeping_at = now + k::HOUSEKEEPING_EVERY_MS;
+        leader.rounds.housekeeping_at = now + constants::HOUSEKEEPING_INTERVAL_MS;
         self.close_rounds();
         // A job that had to wait after a failure becomes due by time alone, with no event.
         let waits = |job: &Job| job.is_open() && !job.pending.is_empty();
         let waiting = self.jobs.values().any(waits);
         if let Some(leader) = self.leader_mut() {
-            leader.dirty |= waiting;
+            leader.needs_scheduling |= waiting;
         }
         for task in self.stalled_starts() {
             tracing::info!(%task, "start undone before it was sent");
-            self.lose(&task);
+            self.handle_lost_task(&task);
         }
     }
 
@@ -78,7 +79,7 @@
         for number in over {
             let round = leader.rounds.open.remove(&number);
             for part in round.into_iter().flat_map(|round| round.parts) {
-                leader.ends.remove(part.key);
+                leader.completions.remove(part.key);
             }
         }
     }
@@ -86,13 +87,13 @@
     /// A start that was never sent, because its machine does not report, can be undone at once; one
     /// that was sent stays until the machine's answer proves where it is.
     fn stalled_starts(&self) -> Vec<TaskId> {
-        let (now, stall) = (self.now, 3 * self.timing.report);
+        let (now, stall) = (self.now, 3 * self.timing.heartbeat_interval);
         let mut stalled = Vec::new();
         for (id, job) in &self.jobs {
-            for (index, placement) in &job.live {
-                let unsent = matches!(placement.stage, Stage::Starting { sent: None, .. });
-                let late = now.saturating_sub(placement.since) > stall;
-                if unsent && (late || placement.stop.is_some()) {
+            for (index, placement) in &job.placements {
+                let unsent = matches!(placement.stage, PlacementStage::Starting { sent: None, .. });
+                let late = now.saturating_sub(placement.stage_since) > stall;
+                if unsent && (late || placement.stop_request.is_some()) {
                     stalled.push(TaskId {
                         job: id.clone(),
                         index: *index,
@@ -118,7 +119,7 @@
             prefix: ROUNDS.into(),
             after: search.after.clone(),
         };
-        self.store(Op::OrphanedRounds, call);
+        self.call_store(PendingCall::ListOrphanedRounds, call);
     }
 
     pub(in crate::engine) fn on_rounds_listed(&mut self, result: Result<StoreReply, StoreError>) {
@@ -127,22 +128,22 @@
             return;
         };
         let search = &mut leader.rounds.orphans;
-        let Ok(StoreReply::Listed(page)) = result else {
+        let Ok(StoreReply::Listing(page)) = result else {
             return search.retry.failed(now, &mut self.rng);
         };
         search.retry.worked(now);
         search.after = page.items.last().map(|item| item.key.clone());
-        if !page.more || search.after.is_none() {
+        if !page.has_more || search.after.is_none() {
             search.finish();
         }
         let term = leader.term;
         for item in page.items {
             // Other leaders' rounds were read when this one began, or could not be read.
             let number = records::round_of_key(&item.key);
-            let number = number.filter(|number| number >> k::ROUND_BITS == term);
+            let number = number.filter(|number| number >> constants::ROUND_BITS == term);
             if number.is_some_and(|number| !leader.rounds.knows(number)) {
                 tracing::info!(key = item.key, "orphaned record of a round is removed");
-                leader.ends.remove(item.key);
+                leader.completions.remove(item.key);
             }
         }
     }
@@ -155,8 +156,12 @@
             return false;
         };
         group.tasks.iter().any(|index| {
-            let live = job.live.get(index).is_some_and(|p| p.attempt == number);
-            live || (job.done.contains(*index) && !job.written.contains(*index))
+            let placements = job
+                .placements
+                .get(index)
+                .is_some_and(|p| p.attempt == number);
+            placements
+                || (job.completed.contains(*index) && !job.durable_completions.contains(*index))
         })
     })
 }
--- a/src/engine/rounds/mod.rs
+++ b/src/engine/rounds/mod.rs
@@ -7,9 +7,9 @@
 mod writing;
 
 use super::Engine;
-use crate::constants as k;
+use crate::constants;
 use crate::model::{JobId, MachineId, Ms, Resources};
-use crate::placement::{self, Bounds, Candidate, Plan, Teams};
+use crate::placement::{self, Bounds, Candidate, QuotaUsage, RoundPlan};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use writing::Writing;
@@ -56,7 +56,7 @@
 
 impl Engine {
     /// Plans a round if something has changed that may allow a placement.
-    pub(super) fn place_when_due(&mut self) {
+    pub(super) fn schedule_when_due(&mut self) {
         self.repeat_round_writes();
         let now = self.now;
         let confident = self.holds_valid_lease();
@@ -64,12 +64,12 @@
             return;
         };
         let busy = leader.rounds.is_writing_single();
-        if busy || !leader.dirty || now < leader.place_at || !confident {
+        if busy || !leader.needs_scheduling || now < leader.next_scheduling_at || !confident {
             return;
         }
-        leader.dirty = false;
-        leader.place_at = now + k::PLACE_EVERY_MS;
-        self.refresh_slots();
+        leader.needs_scheduling = false;
+        leader.next_scheduling_at = now + constants::SCHEDULING_INTERVAL_MS;
+        self.refresh_snapshots();
         let plan = self.plan();
         self.write_round(plan.starts);
         self.write_round(plan.large_gang);
@@ -77,25 +77,25 @@
     }
 
     /// Whether a round is to be planned as soon as may be.
-    pub(super) fn is_placing(&self) -> bool {
+    pub(super) fn is_scheduling_imminent(&self) -> bool {
         self.holds_valid_lease()
             && self
                 .leader()
-                .is_some_and(|l| l.dirty && !l.provisioning.demand.is_empty())
+                .is_some_and(|l| l.needs_scheduling && !l.autoscaling.demand.is_empty())
     }
 
     /// Plans on the model as it stands.
-    fn plan(&self) -> Plan {
+    fn plan(&self) -> RoundPlan {
         let Some(leader) = self.leader() else {
-            return Plan::default();
+            return RoundPlan::default();
         };
         let candidates = self.candidates();
         if candidates.is_empty() {
-            return Plan::default();
+            return RoundPlan::default();
         }
         let bounds = self.round_bounds();
-        let mut slots = leader.machines.ready(placement::least_room(&candidates));
-        placement::plan(&candidates, &mut slots, &mut self.teams(), bounds)
+        let mut snapshots = leader.machines.ready(placement::least_room(&candidates));
+        placement::plan(&candidates, &mut snapshots, &mut self.quotas(), bounds)
     }
 
     /// What a round may hold so that one transaction writes it.
@@ -115,31 +115,33 @@
 
     /// Starts that one record holds.
     fn starts_per_record(&self) -> usize {
-        let by_size = self.settings.value_max() / k::START_BYTES;
-        by_size.min(k::TRANSACTION_STARTS)
+        let by_size = self.settings.value_max() / constants::TASK_START_RECORD_BYTES;
+        by_size.min(constants::MAX_STARTS_PER_TRANSACTION)
     }
 
     /// Records of a round that one transaction writes.
     fn records_per_transaction(&self) -> usize {
-        let by_size = k::TRANSACTION_STARTS / self.starts_per_record();
+        let by_size = constants::MAX_STARTS_PER_TRANSACTION / self.starts_per_record();
         by_size.clamp(1, self.settings.cluster.state.txn_ops)
     }
 
     /// What teams use, counting every task that may be on a machine.
-    pub(super) fn teams(&self) -> Teams {
-        let mut teams = Teams::default();
+    pub(super) fn quotas(&self) -> QuotaUsage {
+        let mut quotas = QuotaUsage::default();
         for team in &self.settings.cluster.teams {
-            teams.limits.insert(team.name.as_str().into(), team.limit());
+            quotas
+                .limits
+                .insert(team.name.as_str().into(), team.limit());
         }
         for job in self.jobs.values() {
-            *teams.used.entry(job.spec.team.clone()).or_default() += job.held();
+            *quotas.used.entry(job.spec.team.clone()).or_default() += job.allocated();
         }
-        teams
+        quotas
     }
 
     /// Jobs that may start tasks now, in the order in which they are served.
     pub(super) fn candidates(&self) -> Vec<Candidate<'_>> {
-        let guaranteed = self.guaranteed();
+        let within_guarantee = self.within_guarantee();
         let orphaned: BTreeSet<&JobId> = self
             .leader()
             .into_iter()
@@ -152,19 +154,19 @@
             .filter(|(id, job)| {
                 job.is_open()
                     && !job.pending.is_empty()
-                    && job.not_before <= self.now
+                    && job.backoff_until <= self.now
                     // No task of a job starts while a machine still has one that is unaccounted for.
                     && !orphaned.contains(id)
                     // A gang restarts only when its last attempt is surely gone.
-                    && (!job.is_gang() || job.live.is_empty())
+                    && (!job.is_gang() || job.placements.is_empty())
             })
             .filter_map(|(id, job)| {
                 let zones = self.zones_of(job)?;
                 Some(Candidate {
                     id,
                     job,
-                    guaranteed: guaranteed.contains(id),
-                    aged: job.is_aged(self.wall),
+                    within_guarantee: within_guarantee.contains(id),
+                    starving: job.is_starving(self.unix_ms),
                     zones,
                 })
             })
@@ -177,9 +179,9 @@
     fn zones_of(&self, job: &crate::model::Job) -> Option<BTreeMap<Arc<str>, u32>> {
         let leader = self.leader()?;
         let mut zones = BTreeMap::new();
-        for placement in job.live.values() {
+        for placement in job.placements.values() {
             let zone = &leader.machines.get(&placement.machine)?.zone;
-            if zone.is_empty() && (job.spec.one_zone || job.spec.spread) {
+            if zone.is_empty() && (job.spec.single_zone || job.spec.spread_zones) {
                 return None;
             }
             *zones.entry(zone.clone()).or_insert(0) += 1;
@@ -188,9 +190,9 @@
     }
 
     /// Jobs that fit into their team's guarantee together with the team's earlier ones.
-    pub(super) fn guaranteed(&self) -> BTreeSet<JobId> {
+    pub(super) fn within_guarantee(&self) -> BTreeSet<JobId> {
         let mut open: Vec<_> = self.jobs.iter().filter(|(_, job)| job.is_open()).collect();
-        open.sort_by_key(|(id, job)| (job.submitted, *id));
+        open.sort_by_key(|(id, job)| (job.submitted_at, *id));
         let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut within = BTreeSet::new();
         for (id, job) in open {
@@ -198,7 +200,7 @@
                 continue;
             };
             let sum = sums.entry(&job.spec.team).or_default();
-            *sum += job.spec.whole();
+            *sum += job.spec.total_request();
             if team.guarantee().is_some() && team.guarantee().holds(*sum) {
                 within.insert(id.clone());
             }
--- a/src/engine/rounds/writing.rs
+++ b/src/engine/rounds/writing.rs
@@ -9,13 +9,13 @@
 //! node became leader, however late it is carried out.
 
 use super::{Round, RoundPart, Rounds, StartGroup};
-use crate::constants as k;
+use crate::constants;
 use crate::engine::records::{self, JOBS, LEAD, RoundRecord};
-use crate::engine::{Engine, Op, Retry, Role};
-use crate::model::{JobId, MachineId, Placement, Stage, TaskId};
-use crate::placement::Start;
+use crate::engine::{Engine, PendingCall, Retry, Role};
+use crate::model::{JobId, MachineId, Placement, PlacementStage, TaskId};
+use crate::placement::TaskStart;
 use crate::store::{StoreCall, StoreError, StoreReply};
-use crate::wire::store::Txn;
+use crate::wire::store::Transaction;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
@@ -44,18 +44,18 @@
         self.round.parts.len() > self.per_transaction
     }
 
-    fn transaction(&self, leader_version: u64) -> Txn {
-        let mut transaction = Txn::default().when(LEAD, leader_version);
+    fn transaction(&self, leader_version: u64) -> Transaction {
+        let mut transaction = Transaction::default().compare(LEAD, leader_version);
         for part in &self.round.parts[self.under_way()] {
             let record = RoundRecord {
                 starts: part.starts.iter().map(StartGroup::as_record).collect(),
             };
             transaction = transaction
-                .when(&part.key, 0)
+                .compare(&part.key, 0)
                 .put(&part.key, records::value(&record));
         }
         for (job, version) in &self.jobs {
-            transaction = transaction.when(records::job_key(&job.0), *version);
+            transaction = transaction.compare(records::job_key(&job.0), *version);
         }
         transaction
     }
@@ -100,8 +100,8 @@
 }
 
 /// Divides starts into the parts that are written as one record each.
-fn parts(number: u64, starts: &[Start], per_record: usize) -> Vec<RoundPart> {
-    let part = |(index, starts): (u32, &[Start])| RoundPart {
+fn parts(number: u64, starts: &[TaskStart], per_record: usize) -> Vec<RoundPart> {
+    let part = |(index, starts): (u32, &[TaskStart])| RoundPart {
         key: records::round_key(number, index),
         starts: group(starts),
     };
@@ -109,7 +109,7 @@
 }
 
 /// Groups starts by job and machine.
-fn group(starts: &[Start]) -> Vec<StartGroup> {
+fn group(starts: &[TaskStart]) -> Vec<StartGroup> {
     let mut groups: BTreeMap<(&JobId, &MachineId), Vec<u32>> = BTreeMap::new();
     for start in starts {
         let tasks = groups.entry((&start.job, &start.machine)).or_default();
@@ -125,7 +125,7 @@
 
 impl Engine {
     /// Reserves the resources on the model and has the round written.
-    pub(super) fn write_round(&mut self, starts: Vec<Start>) {
+    pub(super) fn write_round(&mut self, starts: Vec<TaskStart>) {
         if starts.is_empty() {
             return;
         }
@@ -155,15 +155,15 @@
         let leader = self.leader_mut()?;
         leader.rounds.count += 1;
         let (term, count) = (leader.term, leader.rounds.count);
-        if count >> k::ROUND_BITS != 0 {
+        if count >> constants::ROUND_BITS != 0 {
             self.step_down("a new term is needed for more rounds");
             return None;
         }
-        Some((term << k::ROUND_BITS) | count)
+        Some((term << constants::ROUND_BITS) | count)
     }
 
     /// Places the tasks on the model; the versions of their jobs' records.
-    fn reserve(&mut self, number: u64, starts: &[Start]) -> BTreeMap<JobId, u64> {
+    fn reserve(&mut self, number: u64, starts: &[TaskStart]) -> BTreeMap<JobId, u64> {
         let now = self.now;
         let mut versions = BTreeMap::new();
         let Role::Leader(leader) = &mut self.role else {
@@ -177,11 +177,11 @@
             let placement = Placement {
                 machine: start.machine.clone(),
                 attempt: number,
-                stage: Stage::Planned,
-                since: now,
-                stop: None,
+                stage: PlacementStage::Planned,
+                stage_since: now,
+                stop_request: None,
             };
-            job.live.insert(start.index, placement);
+            job.placements.insert(start.index, placement);
             if let Some(machine) = leader.machines.get_mut(&start.machine) {
                 machine.tasks.insert(TaskId {
                     job: start.job.clone(),
@@ -204,7 +204,10 @@
         };
         writing.retry.busy = true;
         let transaction = writing.transaction(version);
-        self.store(Op::Round { number }, StoreCall::Commit(transaction));
+        self.call_store(
+            PendingCall::WriteRound { number },
+            StoreCall::Commit(transaction),
+        );
     }
 
     /// Repeats transactions whose outcome is unknown.
@@ -247,7 +250,7 @@
                 self.drop_round(number);
                 self.pause_changed_jobs(&failed);
             }
-            Err(StoreError::Bad(why)) => {
+            Err(StoreError::Malformed(why)) => {
                 tracing::error!("round refused: {why}");
                 self.drop_round(number);
             }
@@ -261,10 +264,10 @@
 
     /// Until the watch tells how the jobs have changed, others must not fail with them again.
     fn pause_changed_jobs(&mut self, failed: &[String]) {
-        let until = self.now + k::CHANGED_PAUSE_MS;
+        let until = self.now + constants::CHANGED_JOB_PAUSE_MS;
         for id in failed.iter().filter_map(|key| key.strip_prefix(JOBS)) {
             if let Some(job) = self.jobs.get_mut(&id.into()) {
-                job.not_before = job.not_before.max(until);
+                job.backoff_until = job.backoff_until.max(until);
             }
         }
     }
@@ -295,7 +298,7 @@
         let Some(writing) = leader.rounds.writing.remove(&number) else {
             return;
         };
-        leader.dirty = true;
+        leader.needs_scheduling = true;
         let mut machines = BTreeSet::new();
         for StartGroup {
             job,
@@ -309,20 +312,20 @@
                 continue;
             };
             for index in tasks {
-                let placement = job.live.get_mut(index);
+                let placement = job.placements.get_mut(index);
                 if let Some(placement) = placement.filter(|p| p.attempt == number) {
-                    placement.stage = Stage::Starting {
+                    placement.stage = PlacementStage::Starting {
                         sent: None,
                         resends: 0,
                     };
-                    placement.since = now;
+                    placement.stage_since = now;
                 }
             }
         }
         tracing::debug!(number, parts = writing.round.parts.len(), "round written");
         leader.rounds.open.insert(number, writing.round);
         for machine in machines {
-            self.request_report(&machine);
+            self.request_heartbeat(&machine);
         }
     }
 
@@ -336,7 +339,7 @@
             return;
         };
         for part in &writing.round.parts[..writing.durable] {
-            leader.ends.remove(part.key.clone());
+            leader.completions.remove(part.key.clone());
         }
         for group in writing.round.starts() {
             for index in &group.tasks {
@@ -355,8 +358,8 @@
     fn withdraw(&mut self, task: &TaskId, attempt: u64) {
         let placement = self.placement(task);
         if placement.is_some_and(|p| p.attempt == attempt) {
-            self.take_off(task);
-            self.settle_job(&task.job);
+            self.remove_placement(task);
+            self.finish_job_if_over(&task.job);
         }
     }
 }
--- a/src/engine/tests/cancellation_forward.rs
+++ b/src/engine/tests/cancellation_forward.rs
@@ -9,8 +9,8 @@
 use super::{ends_well, quick, world_with};
 use crate::engine::{Reply, ReplyId, records};
 use crate::model::Ms;
-use crate::wire::store::Txn;
-use crate::wire::user::{Job, JobState, Kind};
+use crate::wire::store::Transaction;
+use crate::wire::user::{JobKind, JobState, JobSubmission};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -33,9 +33,9 @@
 /// Needs the first through the second: the one that is asked about.
 const LAST: &str = "run-9";
 
-fn step(id: &str, awaits: &str) -> Job {
-    let mut job = quick(id, Kind::Array, 1);
-    job.awaits = vec![awaits.into()];
+fn step(id: &str, awaits: &str) -> JobSubmission {
+    let mut job = quick(id, JobKind::Array, 1);
+    job.depends_on = vec![awaits.into()];
     job
 }
 
@@ -92,8 +92,8 @@
                     return true;
                 };
                 let said = match answer {
-                    Reply::Step(Some(state)) => Said::State(state),
-                    Reply::Step(None) => looked_up(world).unwrap_or(Said::Unavailable),
+                    Reply::BlockedJobState(Some(state)) => Said::State(state),
+                    Reply::BlockedJobState(None) => looked_up(world).unwrap_or(Said::Unavailable),
                     _ => Said::Unavailable,
                 };
                 answered.push(Answered {
@@ -172,21 +172,21 @@
 }
 
 /// All orders of the four.
-fn orders() -> Vec<Vec<Event>> {
+fn commands() -> Vec<Vec<Event>> {
     use Event::{Cancellation, End, Question, Submission};
-    let mut orders = vec![Vec::new()];
+    let mut commands = vec![Vec::new()];
     for event in [End, Cancellation, Submission, Question] {
         let put_in = |order: &Vec<Event>, at: usize| {
             let mut order = order.clone();
             order.insert(at, event);
             order
         };
-        orders = orders
+        commands = commands
             .iter()
             .flat_map(|order| (0..=order.len()).map(move |at| put_in(order, at)))
             .collect();
     }
-    orders
+    commands
 }
 
 /// The production version leads, on node 1: it is played by what it writes.
@@ -196,7 +196,9 @@
         world.crash(node);
     }
     world.run(6_000);
-    world.jobs.insert(FIRST.into(), quick(FIRST, Kind::Gang, 2));
+    world
+        .jobs
+        .insert(FIRST.into(), quick(FIRST, JobKind::Gang, 2));
     world.put(records::TERM, production!("term"));
     world.put(records::LEAD, production!("lead"));
     world.put(&records::job_key(FIRST), production!("open"));
@@ -209,14 +211,14 @@
 
 fn end_as_production_does(world: &mut World) {
     world.finished.insert(format!("{FIRST}/0"));
-    let txn = Txn::default()
+    let txn = Transaction::default()
         .put(records::final_key(FIRST), production!("final_done"))
         .delete(records::job_key(FIRST));
     world.write(&txn);
 }
 
 fn cancel_as_production_does(world: &mut World) {
-    let txn = Txn::default()
+    let txn = Transaction::default()
         .put(records::job_key(FIRST), production!("cancelled"))
         .put(records::final_key(FIRST), production!("final_aborted"));
     world.write(&txn);
@@ -262,7 +264,7 @@
 #[test]
 fn whatever_order_an_end_a_cancellation_a_submission_and_a_question_fall_in() {
     let mut outcomes = std::collections::BTreeSet::new();
-    for (number, order) in orders().into_iter().enumerate() {
+    for (number, order) in commands().into_iter().enumerate() {
         for (gap, slow_links) in [(0, 0), (20, 0), (700, 0), (0, 300), (150, 300)] {
             for (asked, record_goes) in [(0, false), (2, false), (0, true), (2, true)] {
                 let mut world = world_led_by_the_production_version();
@@ -311,7 +313,7 @@
 /// is durable first follows from the moment.
 #[test]
 fn a_leaders_end_of_a_step_meets_a_cancellation_a_submission_and_questions() {
-    let first = || world_with(vec![quick(FIRST, Kind::Array, 1)]);
+    let first = || world_with(vec![quick(FIRST, JobKind::Array, 1)]);
     let mut reference = first();
     reference.faults.store_delay = 40;
     assert!(reference.run_until(60_000, |w| w.done(FIRST)));
@@ -367,7 +369,7 @@
     let mut met = 0;
     // The moment at which nodes tell each other who leads is a fixed one of each second.
     for longer in (0..1_000).step_by(125) {
-        let mut world = world_with(vec![quick(FIRST, Kind::Array, 1), step(LAST, FIRST)]);
+        let mut world = world_with(vec![quick(FIRST, JobKind::Array, 1), step(LAST, FIRST)]);
         world.longer.insert(format!("{FIRST}/0"), longer);
         assert!(world.run_until(60_000, |w| !w.finished.is_empty()));
         let old = world.leader().unwrap();
--- a/src/engine/tests/meetings.rs
+++ b/src/engine/tests/combined_faults.rs
@@ -2,8 +2,8 @@
 
 use super::world::World;
 use super::{ends_well, lead_from_the_east, quick, world_of_two_services, world_with};
-use crate::constants as k;
-use crate::wire::user::{JobState, Kind};
+use crate::constants;
+use crate::wire::user::{JobKind, JobState};
 
 /// All troubles end: whatever is open runs within 90 s, and no rule was broken.
 #[track_caller]
@@ -30,7 +30,7 @@
 /// Which machines report to which node is up to the day: here all to this one, at once.
 fn all_report_to(world: &mut World, node: usize) {
     world.workers.values_mut().for_each(|w| w.node = node);
-    world.report_within(300);
+    world.heartbeat_within(300);
 }
 
 /// Guards against a leader that answers reports for longer than it can know of all cancellations:
@@ -127,7 +127,7 @@
     let machines: Vec<String> = world.workers.keys().cloned().collect();
     world.faults.cut.extend(machines);
     let rounds = world.keys("rounds/");
-    world.submit(quick("run-3", Kind::Array, 1));
+    world.submit(quick("run-3", JobKind::Array, 1));
     world.run(500);
     assert_eq!(
         world.keys("rounds/"),
@@ -136,7 +136,7 @@
     );
     world.faults.store_refuses.insert(leader);
     world.faults.no_peers.insert(leader);
-    world.run(k::LEASE_TTL_MS + 100);
+    world.run(constants::LEASE_TTL_MS + 100);
     world.cancel("run-3");
     world.faults.cut.clear();
     all_report_to(&mut world, leader);
@@ -152,12 +152,12 @@
     let mut world = world_of_two_services();
     world.run(10_000);
     let leader = world.leader().unwrap();
-    world.submit(quick("run-3", Kind::Array, 1));
+    world.submit(quick("run-3", JobKind::Array, 1));
     world.cancel("run-1");
     world.run(2_000);
     // Room for both; the leader hears of what follows only with its next watch's answer.
-    world.submit(quick("run-4", Kind::Array, 1));
-    world.submit(quick("run-5", Kind::Array, 1));
+    world.submit(quick("run-4", JobKind::Array, 1));
+    world.submit(quick("run-5", JobKind::Array, 1));
     world.run(20);
     world.faults.slow_watch.insert(leader, 2_500);
     world.cancel("run-4");
@@ -193,7 +193,7 @@
 #[test]
 fn cancelled_tasks_of_a_zone_cut_off_from_everything_end_in_time() {
     for wait in [0, 1_000, 20_000] {
-        let mut service = quick("run-1", Kind::Service, 3);
+        let mut service = quick("run-1", JobKind::Service, 3);
         service.zone = Some("west".into());
         let mut world = world_with(vec![service]);
         assert!(world.run_until(60_000, |w| w.running("run-1") == 3));
@@ -214,8 +214,8 @@
 /// that it had not heard of when it read the rounds is placed already.
 #[test]
 fn a_leader_whose_watch_lags_places_nothing_again() {
-    let mut first = quick("run-1", Kind::Service, 6);
-    first.spread = true;
+    let mut first = quick("run-1", JobKind::Service, 6);
+    first.spread_zones = true;
     let mut world = world_with(vec![first]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 6));
     world.run(10_000);
@@ -232,7 +232,7 @@
         world.run(1);
     }
     assert_eq!(world.keys("live/job/"), 1);
-    world.submit(quick("run-2", Kind::Service, 1));
+    world.submit(quick("run-2", JobKind::Service, 1));
     all_report_to(&mut world, quick_one);
     assert!(world.run_until(1_500, |w| w.begun.contains("run-2")));
     // In office for a second; back, it is refused.
@@ -255,7 +255,7 @@
 /// Guards against an older record of an array's progress that is carried out over a newer one.
 #[test]
 fn progress_written_late_takes_nothing_back() {
-    let mut world = world_with(vec![quick("run-1", Kind::Array, 4)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Array, 4)]);
     for (task, longer) in [(1, 4_000), (2, 8_000), (3, 60_000)] {
         world.longer.insert(format!("run-1/{task}"), longer);
     }
@@ -271,7 +271,7 @@
 /// The same of an earlier leader's record over its successor's.
 #[test]
 fn progress_of_an_earlier_leader_written_late_takes_nothing_back() {
-    let mut world = world_with(vec![quick("run-1", Kind::Array, 4)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Array, 4)]);
     for (task, longer) in [(1, 6_000), (2, 7_000), (3, 60_000)] {
         world.longer.insert(format!("run-1/{task}"), longer);
     }
@@ -292,9 +292,9 @@
     for every in 2..6 {
         for crash_at in [21_000, 31_000, 36_000] {
             let mut world = world_with(vec![
-                quick("run-1", Kind::Array, 5),
-                quick("run-2", Kind::Gang, 2),
-                quick("run-3", Kind::Service, 1),
+                quick("run-1", JobKind::Array, 5),
+                quick("run-2", JobKind::Gang, 2),
+                quick("run-3", JobKind::Service, 1),
             ]);
             world.faults.late_every = every;
             world.run(crash_at);
@@ -318,8 +318,8 @@
 fn copies_of_reports_held_back_until_another_leads_change_nothing() {
     for every in 1..4 {
         let mut world = world_with(vec![
-            quick("run-1", Kind::Array, 6),
-            quick("run-2", Kind::Service, 2),
+            quick("run-1", JobKind::Array, 6),
+            quick("run-2", JobKind::Service, 2),
         ]);
         world.faults.copy_every = every;
         for _ in 0..5 {
@@ -341,9 +341,9 @@
         let mut world = world_of_two_services();
         let machine = world.machine_of("run-1").unwrap();
         // From before its first start.
-        let mut reports = world.reports(&machine);
-        reports.retain(|r| r.tasks.is_empty());
-        assert!(reports.len() > 1);
+        let mut heartbeats = world.heartbeats(&machine);
+        heartbeats.retain(|r| r.tasks.is_empty());
+        assert!(heartbeats.len() > 1);
         world.run(4_000);
         world.faults.cut.insert(machine);
         if crash {
@@ -352,7 +352,7 @@
         }
         for _ in 0..24 {
             world.run(500);
-            world.repeat_reports(&reports);
+            world.repeat_heartbeats(&heartbeats);
         }
         assert_eq!(world.starts, 8, "crash {crash}: {}", world.describe());
         assert_eq!(world.broken, Vec::<String>::new());
@@ -388,7 +388,7 @@
             world.faults.hung.insert(machine);
             world.run(500);
             world.cancel("run-1");
-            world.submit(quick("run-3", Kind::Array, 4));
+            world.submit(quick("run-3", JobKind::Array, 4));
             world.run(500);
             let leader = world.leader().unwrap();
             if crash {
@@ -409,22 +409,22 @@
 #[test]
 fn a_team_at_its_limit_stays_within_it_through_a_take_over_and_a_cancellation() {
     for cut_for in [8_000, 15_000, 40_000] {
-        let mut whole = quick("run-0", Kind::Service, 1);
+        let mut whole = quick("run-0", JobKind::Service, 1);
         whole.cpus = 16.0;
         let mut world = world_with(vec![
             whole,
-            quick("run-1", Kind::Service, 4),
-            quick("run-2", Kind::Service, 3),
+            quick("run-1", JobKind::Service, 4),
+            quick("run-2", JobKind::Service, 3),
         ]);
         assert!(world.run_until(60_000, |w| w.all_running() == 8));
         world.cancel("run-0");
         world.run(1_000);
         // In the last room that the team has: the machine that was full is idle.
-        world.submit(quick("run-4", Kind::Service, 1));
+        world.submit(quick("run-4", JobKind::Service, 1));
         assert!(world.run_until(10_000, |w| w.all_running() == 8));
         let busy = world.busy();
         assert!(busy.len() < world.workers.len());
-        world.submit(quick("run-3", Kind::Array, 4));
+        world.submit(quick("run-3", JobKind::Array, 4));
         world.run(3_000);
         let leader = world.leader().unwrap();
         world.faults.cut.extend(world.machine_of("run-1"));
@@ -442,10 +442,10 @@
 /// Guards against ends that are lost or taken for the whole job's across changes of leader.
 #[test]
 fn tasks_that_end_far_apart_across_leaders_end_their_job_once() {
-    for kind in [Kind::Array, Kind::Gang] {
+    for kind in [JobKind::Array, JobKind::Gang] {
         for crash_at in (29_500..36_000).step_by(500) {
             let mut world = world_with(vec![quick("run-1", kind, 3)]);
-            if kind == Kind::Array {
+            if kind == JobKind::Array {
                 world.longer.insert("run-1/1".into(), 30_000);
                 world.longer.insert("run-1/2".into(), 70_000);
             }
@@ -469,7 +469,7 @@
         world.cancel("run-1");
         world.run(12_000);
         world.faults.store_delay = 60;
-        world.submit(quick("run-3", Kind::Array, 2));
+        world.submit(quick("run-3", JobKind::Array, 2));
         world.run(after);
         world.cancel("run-3");
         recovers(&mut world);
@@ -482,7 +482,7 @@
 #[test]
 fn a_cancellation_that_meets_the_end_of_the_job_leaves_one_answer() {
     let mut both = std::collections::BTreeSet::new();
-    for kind in [Kind::Array, Kind::Gang] {
+    for kind in [JobKind::Array, JobKind::Gang] {
         let ended = |w: &World| w.finished.len() >= 2;
         let mut world = world_with(vec![quick("run-1", kind, 2)]);
         assert!(world.run_until(60_000, ended));
@@ -509,7 +509,7 @@
 fn all_nodes_away_for_longer_than_a_lease_lose_no_job() {
     for away in [18_000, 25_000, 70_000] {
         let mut world = world_of_two_services();
-        world.submit(quick("run-3", Kind::Array, 2));
+        world.submit(quick("run-3", JobKind::Array, 2));
         let cut = world.machine_of("run-1").unwrap();
         for node in 0..3 {
             world.crash(node);
@@ -533,10 +533,10 @@
 #[test]
 fn ten_leaders_in_two_minutes_break_nothing() {
     for outage in [None, Some(2), Some(5)] {
-        let mut world = world_with(vec![quick("run-0", Kind::Service, 2)]);
+        let mut world = world_with(vec![quick("run-0", JobKind::Service, 2)]);
         assert!(world.run_until(60_000, |w| w.running("run-0") == 2));
         for round in 1..=10 {
-            world.submit(quick(&format!("run-{round}"), Kind::Service, 1));
+            world.submit(quick(&format!("run-{round}"), JobKind::Service, 1));
             let leads = world.leader().unwrap_or(round % 3);
             world.run(6_000);
             world.cancel(&format!("run-{round}"));
@@ -556,7 +556,7 @@
 fn offices_handed_over_and_back_and_one_node_back_at_once_break_nothing() {
     for back in [50, 400, 950] {
         let mut world = world_of_two_services();
-        world.submit(quick("run-3", Kind::Array, 4));
+        world.submit(quick("run-3", JobKind::Array, 4));
         world.run(5_000);
         for _ in 0..2 {
             let leader = world.leader().unwrap();
@@ -586,10 +586,10 @@
 fn jobs_of_a_zone_cut_off_for_long_lose_machines_and_get_others() {
     for cut_for in [20_000, 45_000, 90_000] {
         let mut jobs = vec![
-            quick("run-1", Kind::Service, 2),
-            quick("run-2", Kind::Array, 4),
+            quick("run-1", JobKind::Service, 2),
+            quick("run-2", JobKind::Array, 4),
         ];
-        jobs[1].estimate_s = 300.0;
+        jobs[1].expected_duration_s = 300.0;
         for job in &mut jobs {
             job.zone = Some("west".into());
         }
@@ -602,10 +602,10 @@
         world.faults.hung.insert(lost);
         world.run(cut_for);
         world.cancel("run-1");
-        world.submit(quick("run-3", Kind::Service, 1));
+        world.submit(quick("run-3", JobKind::Service, 1));
         world.run(5_000);
         world.faults.zones_cut = false;
-        let all = world.run_until(k::LEASE_TTL_MS + 90_000, |w| w.waiting().is_empty());
+        let all = world.run_until(constants::LEASE_TTL_MS + 90_000, |w| w.waiting().is_empty());
         assert!(all, "{:?}: {}", world.waiting(), world.describe());
         recovers(&mut world);
         assert_eq!(world.running("run-1"), 0);
