--- a/src/engine/tests/pipelines.rs
+++ b/src/engine/tests/dependencies.rs
@@ -2,22 +2,22 @@
 
 use super::world::World;
 use super::{ends_well, quick, world_with};
-use crate::model::{Job as Known, Phase, Spec};
-use crate::wire::user::{Job, JobState, Kind, Priority, tests::job};
+use crate::model::{Job as Known, JobPhase, JobSpec};
+use crate::wire::user::{JobKind, JobState, JobSubmission, Priority, tests::job};
 
-fn step(id: &str, kind: Kind, tasks: u64, awaits: &[&str]) -> Job {
+fn step(id: &str, kind: JobKind, tasks: u64, awaits: &[&str]) -> JobSubmission {
     let mut job = quick(id, kind, tasks);
-    job.awaits = awaits.iter().map(|id| (*id).to_owned()).collect();
+    job.depends_on = awaits.iter().map(|id| (*id).to_owned()).collect();
     job
 }
 
 /// Four steps in a row, of each kind that ends.
-fn chain() -> Vec<Job> {
+fn chain() -> Vec<JobSubmission> {
     vec![
-        step("run-1", Kind::Array, 2, &[]),
-        step("run-2", Kind::Array, 3, &["run-1"]),
-        step("run-3", Kind::Gang, 2, &["run-2"]),
-        step("run-4", Kind::Array, 1, &["run-1", "run-3"]),
+        step("run-1", JobKind::Array, 2, &[]),
+        step("run-2", JobKind::Array, 3, &["run-1"]),
+        step("run-3", JobKind::Gang, 2, &["run-2"]),
+        step("run-4", JobKind::Array, 1, &["run-1", "run-3"]),
     ]
 }
 
@@ -52,7 +52,7 @@
 #[test]
 fn a_cancellation_goes_forward_although_nothing_can_be_written() {
     let mut jobs = chain();
-    jobs[0].estimate_s = 300.0;
+    jobs[0].expected_duration_s = 300.0;
     let mut world = world_with(jobs);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 2));
     assert_eq!(said(&mut world, "run-4"), [Some(JobState::Queued); 3]);
@@ -80,7 +80,7 @@
 #[test]
 fn every_node_says_cancelled_as_soon_as_one_does() {
     let mut jobs = chain();
-    jobs[0].estimate_s = 300.0;
+    jobs[0].expected_duration_s = 300.0;
     let mut world = world_with(jobs);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 2));
     let leader = world.leader().unwrap();
@@ -104,12 +104,12 @@
 /// Jobs that name a cancelled one after its records are gone, and one by a node that has just started.
 #[test]
 fn a_job_that_names_a_cancelled_one_is_cancelled_with_it() {
-    let mut world = world_with(vec![step("run-1", Kind::Service, 1, &[])]);
+    let mut world = world_with(vec![step("run-1", JobKind::Service, 1, &[])]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     world.cancel("run-1");
     assert!(world.run_until(20_000, |w| w.keys("live/job/") == 0));
-    world.submit(step("run-2", Kind::Array, 1, &["run-1"]));
-    world.submit(step("run-3", Kind::Array, 1, &["run-2"]));
+    world.submit(step("run-2", JobKind::Array, 1, &["run-1"]));
+    world.submit(step("run-3", JobKind::Array, 1, &["run-2"]));
     let leader = world.leader().unwrap();
     world.crash((leader + 1) % 3);
     world.start((leader + 1) % 3);
@@ -151,14 +151,14 @@
 /// Guards against room held, or rented, for what can't start.
 #[test]
 fn a_waiting_job_holds_nothing() {
-    let mut first = step("run-1", Kind::Array, 1, &[]);
-    first.estimate_s = 40.0;
-    let waiting = step("run-2", Kind::Array, 8, &["run-1"]);
+    let mut first = step("run-1", JobKind::Array, 1, &[]);
+    first.expected_duration_s = 40.0;
+    let waiting = step("run-2", JobKind::Array, 8, &["run-1"]);
     let mut world = world_with(vec![first, waiting]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     assert_eq!(world.workers.len(), 1, "nothing is rented for it");
     // The rest of the team's limit, although the waiting job came first.
-    let mut other = step("run-3", Kind::Gang, 7, &[]);
+    let mut other = step("run-3", JobKind::Gang, 7, &[]);
     other.priority = Priority::Low;
     world.submit(other);
     ends_well(&mut world, "run-3", 60_000);
@@ -167,18 +167,23 @@
 
 #[test]
 fn priority_and_deadline_flow_back() {
-    let mut last = step("run-3", Kind::Array, 1, &["run-2"]);
+    let mut last = step("run-3", JobKind::Array, 1, &["run-2"]);
     (last.priority, last.deadline_s) = (Priority::High, Some(60.0));
-    let mut low = step("run-1", Kind::Array, 2, &[]);
+    let mut low = step("run-1", JobKind::Array, 2, &[]);
     low.priority = Priority::Low;
-    let mut normal = step("run-9", Kind::Array, 2, &[]);
+    let mut normal = step("run-9", JobKind::Array, 2, &[]);
     for job in [&mut low, &mut normal] {
         (job.cpus, job.gpus) = (16.0, 4.0);
     }
     let mut world = World::new(3, 8.0);
     world.faults.capacity = Some(1);
     world.run(2_000);
-    for job in [normal, low, step("run-2", Kind::Array, 1, &["run-1"]), last] {
+    for job in [
+        normal,
+        low,
+        step("run-2", JobKind::Array, 1, &["run-1"]),
+        last,
+    ] {
         world.submit(job);
     }
     // There is room for two tasks, one in each zone.
@@ -191,30 +196,30 @@
 /// A job that waited long for others has not waited for room.
 #[test]
 fn age_counts_from_when_a_job_could_begin_and_the_deadline_from_its_submission() {
-    let mut spec = Spec::read(&quick("run-1", Kind::Array, 1));
+    let mut spec = JobSpec::from(&quick("run-1", JobKind::Array, 1));
     spec.deadline_ms = Some(5_000);
-    let mut job = Known::new(spec, 1, 1_000, Phase::Open, 0);
-    let late = 1_000 + 2 * crate::constants::AGED_MS;
-    assert!(job.is_aged(late));
-    job.ready = late - 1_000;
-    assert!(!job.is_aged(late));
-    assert_eq!(job.due(), 6_000);
+    let mut job = Known::new(spec, 1, 1_000, JobPhase::Open, 0);
+    let late = 1_000 + 2 * crate::constants::STARVATION_AFTER_MS;
+    assert!(job.is_starving(late));
+    job.ready_at = late - 1_000;
+    assert!(!job.is_starving(late));
+    assert_eq!(job.deadline(), 6_000);
 }
 
 /// A wide fan costs no more than its records: what a hundred jobs await, and one that awaits many.
 #[test]
 fn wide_fans_and_long_chains_are_carried_through() {
-    let mut world = world_with(vec![step("run-0", Kind::Array, 1, &[])]);
+    let mut world = world_with(vec![step("run-0", JobKind::Array, 1, &[])]);
     let name = |n: usize| format!("run-{n}");
     for n in 1..40 {
-        world.submit(step(&name(n), Kind::Array, 1, &["run-0"]));
+        world.submit(step(&name(n), JobKind::Array, 1, &["run-0"]));
     }
     let fan: Vec<String> = (1..40).map(name).collect();
     let fan: Vec<&str> = fan.iter().map(|id| &**id).collect();
-    world.submit(step("run-100", Kind::Array, 1, &fan));
+    world.submit(step("run-100", JobKind::Array, 1, &fan));
     for n in 101..160 {
-        let mut job = step(&name(n), Kind::Array, 1, &[&*name(n - 1)]);
-        job.estimate_s = 1.0;
+        let mut job = step(&name(n), JobKind::Array, 1, &[&*name(n - 1)]);
+        job.expected_duration_s = 1.0;
         world.submit(job);
     }
     world.run(1_000);
@@ -233,18 +238,18 @@
     let next = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0";
     for at in (500..40_000).step_by(3_100) {
         let mut world = World::with_limits_to_come(3, 64.0, next);
-        let mut large = quick("run-9", Kind::Service, 1);
-        large.types = Some(vec!["g8".into(), "x".repeat(2_000)]);
+        let mut large = quick("run-9", JobKind::Service, 1);
+        large.machine_types = Some(vec!["g8".into(), "x".repeat(2_000)]);
         world.submit(large);
         world.run(2_000);
         for job in chain() {
             world.submit(job);
         }
-        world.submit(quick("run-5", Kind::Gang, 40));
-        world.submit(quick("run-6", Kind::Array, 20));
+        world.submit(quick("run-5", JobKind::Gang, 40));
+        world.submit(quick("run-6", JobKind::Array, 20));
         // They end together.
         for n in 20..32 {
-            world.submit(quick(&format!("run-{n}"), Kind::Array, 1));
+            world.submit(quick(&format!("run-{n}"), JobKind::Array, 1));
         }
         world.run(at);
         (world.txn_ops, world.value_max) = (4, 2 * 1024);
@@ -289,8 +294,8 @@
 fn what_leaders_of_the_production_version_left_is_carried_on() {
     let mut world = World::new(3, 8.0);
     all_restart(&mut world, |w| {
-        let mut gang = job("run-7", Kind::Gang, 2);
-        gang.estimate_s = 20.0;
+        let mut gang = job("run-7", JobKind::Gang, 2);
+        gang.expected_duration_s = 20.0;
         w.jobs.insert("run-7".into(), gang);
         w.put("term", production!("term"));
         w.put("live/job/run-7", production!("open"));
@@ -300,9 +305,9 @@
     assert!(world.run_until(10_000, |w| w.leader().is_some()));
     assert!(world.term() > 7);
     for step in [
-        step("run-8", Kind::Array, 1, &["run-7"]),
-        step("run-9", Kind::Array, 1, &["run-7"]),
-        step("run-10", Kind::Array, 1, &["run-9"]),
+        step("run-8", JobKind::Array, 1, &["run-7"]),
+        step("run-9", JobKind::Array, 1, &["run-7"]),
+        step("run-10", JobKind::Array, 1, &["run-9"]),
     ] {
         world.submit(step);
     }
--- a/src/engine/tests/guards.rs
+++ b/src/engine/tests/guards.rs
@@ -3,7 +3,7 @@
 use super::world::World;
 use super::{ends_well, quick, world_with};
 use crate::engine::records;
-use crate::wire::user::{JobState, Kind};
+use crate::wire::user::{JobKind, JobState};
 use crate::wire::worker::{Task, TaskState};
 
 /// How often the machine was returned.
@@ -14,7 +14,7 @@
 
 /// One machine has done its work and has been idle for nearly as long as it is kept.
 fn world_with_one_idle_machine() -> (World, String) {
-    let mut world = world_with(vec![quick("run-1", Kind::Array, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Array, 1)]);
     ends_well(&mut world, "run-1", 60_000);
     let machines: Vec<String> = world.workers.keys().cloned().collect();
     assert_eq!(machines.len(), 1);
@@ -27,13 +27,13 @@
 #[test]
 fn a_late_report_brings_no_returned_machine_back() {
     let (mut world, machine) = world_with_one_idle_machine();
-    let mut reports = world.reports(&machine);
+    let mut heartbeats = world.heartbeats(&machine);
     // The others name a lower token, or a task.
-    reports.drain(..reports.len() - 1);
+    heartbeats.drain(..heartbeats.len() - 1);
     assert!(world.run_until(120_000, |w| returns(w, &machine) == 1));
     world.run(1_000);
-    world.repeat_reports(&reports);
-    world.submit(quick("run-2", Kind::Array, 1));
+    world.repeat_heartbeats(&heartbeats);
+    world.submit(quick("run-2", JobKind::Array, 1));
     // A machine boots in 20 s.
     assert!(
         world.run_until(24_000, |w| w.begun.contains("run-2")),
@@ -59,7 +59,7 @@
 /// no round tells of it any more. The task counted as placed for ever.
 #[test]
 fn a_node_that_leads_again_has_forgotten_what_it_had_placed() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     let first = world.leader().unwrap();
     world.faults.store_refuses.insert(first);
@@ -93,10 +93,10 @@
 fn an_answer_of_the_watch_that_was_overtaken_changes_nothing() {
     const LATE: u64 = 900;
     for offset in [0, 130, 260, 390] {
-        let mut first = quick("run-1", Kind::Service, 1);
-        first.estimate_s = 300.0;
-        let mut second = quick("run-2", Kind::Array, 1);
-        second.awaits = vec!["run-1".into()];
+        let mut first = quick("run-1", JobKind::Service, 1);
+        first.expected_duration_s = 300.0;
+        let mut second = quick("run-2", JobKind::Array, 1);
+        second.depends_on = vec!["run-1".into()];
         let mut world = world_with(vec![first, second]);
         world.run(20_000);
         // Nobody writes the dependant's end.
@@ -106,7 +106,7 @@
         world.run(offset);
         world.faults.slow_watch.insert(node, LATE);
         // The watch tells of this, late.
-        world.submit(quick("run-3", Kind::Array, 1));
+        world.submit(quick("run-3", JobKind::Array, 1));
         world.faults.slow_watch.clear();
         world.cancel("run-1");
         let sent = world.now;
@@ -129,25 +129,25 @@
 #[test]
 fn a_started_task_that_only_waits_for_its_gang_unlocks_its_machine() {
     let (mut world, machine) = world_with_one_idle_machine();
-    world.submit(quick("run-2", Kind::Gang, 1));
+    world.submit(quick("run-2", JobKind::Gang, 1));
     let started = |w: &World| w.workers[&machine].tasks.contains_key("run-2/0");
     let waits = (0..10_000).find(|_| {
         world.run(1);
         started(&world)
     });
     assert!(waits.is_some(), "not started");
-    let mut report = world.reports(&machine).pop().unwrap();
-    report.seq += 1;
-    report.tasks = vec![Task {
+    let mut heartbeat = world.heartbeats(&machine).pop().unwrap();
+    heartbeat.sequence += 1;
+    heartbeat.tasks = vec![Task {
         task: "run-2/0".into(),
         attempt: world.workers[&machine].tasks["run-2/0"].attempt,
-        state: TaskState::Waiting,
-        why: None,
-        saved: None,
+        state: TaskState::WaitingForGang,
+        exit_reason: None,
+        checkpoint_saved: None,
     }];
-    world.repeat_reports(&[report]);
+    world.repeat_heartbeats(&[heartbeat]);
     let leader = world.leader().unwrap();
-    assert!(world.engine(leader).unwrap().slots_agree());
+    assert!(world.engine(leader).unwrap().snapshots_agree());
     ends_well(&mut world, "run-2", 60_000);
 }
 
@@ -156,7 +156,7 @@
 #[test]
 fn a_single_task_that_its_machine_has_lost_is_placed_again() {
     for tasks in [1, 3] {
-        let mut world = world_with(vec![quick("run-1", Kind::Service, tasks)]);
+        let mut world = world_with(vec![quick("run-1", JobKind::Service, tasks)]);
         let all = |w: &World| w.running("run-1") as u64 == tasks;
         assert!(world.run_until(60_000, all));
         world.run(5_000);
@@ -173,7 +173,7 @@
 /// reports carry them as well.
 #[test]
 fn stops_go_with_the_answers_to_reports_too() {
-    let mut world = world_with(vec![quick("run-1", Kind::Gang, 2)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Gang, 2)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 2));
     world.faults.lose_direct = true;
     // One of the gang is gone: the other is stopped.
--- a/src/engine/tests/large_gangs.rs
+++ b/src/engine/tests/large_gangs.rs
@@ -3,7 +3,7 @@
 use super::world::{NO_LIMIT, World};
 use super::{ends_well, quick};
 use crate::model::Ms;
-use crate::wire::user::{Job, Kind};
+use crate::wire::user::{JobKind, JobSubmission};
 
 /// The least limits that the settings allow: 128 starts a transaction.
 const LEAST_LIMITS: &str = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4";
@@ -11,9 +11,9 @@
 const RECORDS: usize = 10;
 
 /// A gang that takes three transactions.
-fn gang() -> Job {
-    let mut gang = quick("run-1", Kind::Gang, 300);
-    gang.estimate_s = 60.0;
+fn gang() -> JobSubmission {
+    let mut gang = quick("run-1", JobKind::Gang, 300);
+    gang.expected_duration_s = 60.0;
     gang
 }
 
@@ -49,7 +49,7 @@
 fn a_gang_of_any_size_is_placed_as_a_whole() {
     for tasks in [129, 600, 1_500] {
         let mut world = world();
-        world.submit(quick("run-1", Kind::Gang, tasks));
+        world.submit(quick("run-1", JobKind::Gang, tasks));
         ends_well(&mut world, "run-1", 180_000);
         assert_eq!(world.starts, tasks);
         leaves_nothing(&mut world, 60_000);
@@ -115,18 +115,18 @@
 /// round does not use.
 #[test]
 fn other_rounds_are_written_meanwhile() {
-    let in_zone = |zone: &str, job: Job| Job {
+    let in_zone = |zone: &str, job: JobSubmission| JobSubmission {
         zone: Some(zone.into()),
         ..job
     };
     let mut world = world();
-    world.submit(in_zone("west", quick("run-2", Kind::Service, 1)));
+    world.submit(in_zone("west", quick("run-2", JobKind::Service, 1)));
     assert!(world.run_until(60_000, |w| w.running("run-2") == 1));
-    world.submit(in_zone("east", quick("run-1", Kind::Gang, 1_500)));
+    world.submit(in_zone("east", quick("run-1", JobKind::Gang, 1_500)));
     run_to_records(&mut world, 5);
     // 47 records in twelve transactions, each answered after this time.
     world.faults.store_delay = 1_000;
-    world.submit(in_zone("west", quick("run-3", Kind::Array, 1)));
+    world.submit(in_zone("west", quick("run-3", JobKind::Array, 1)));
     assert!(world.run_until(8_000, |w| w.begun.contains("run-3")));
     assert!(!world.begun.contains("run-1"));
     world.faults.store_delay = 0;
@@ -141,7 +141,7 @@
         let mut world = world();
         world.faults.late_every = late_every;
         world.submit(gang());
-        world.submit(quick("run-2", Kind::Service, 3));
+        world.submit(quick("run-2", JobKind::Service, 3));
         ends_well(&mut world, "run-1", 300_000);
         assert_eq!(world.starts, 303);
         world.faults.late_every = 0;
@@ -180,7 +180,7 @@
 #[test]
 fn a_round_whose_answer_is_lost_before_a_cancellation_is_removed() {
     let mut world = world();
-    world.submit(quick("run-1", Kind::Gang, 8));
+    world.submit(quick("run-1", JobKind::Gang, 8));
     assert!(world.run_until(60_000, |w| !w.workers.is_empty()));
     world.faults.lose_every = 1;
     run_to_records(&mut world, 1);
@@ -198,12 +198,12 @@
 #[test]
 fn a_record_that_a_late_copy_leaves_is_found() {
     let mut world = world();
-    world.submit(quick("run-1", Kind::Array, 1));
+    world.submit(quick("run-1", JobKind::Array, 1));
     ends_well(&mut world, "run-1", 60_000);
     // The image is there now, so that a start fails within seconds.
     world.faults.faulty.insert("run-2".into());
     world.faults.late_write = Some("rounds/");
-    world.submit(quick("run-2", Kind::Array, 1));
+    world.submit(quick("run-2", JobKind::Array, 1));
     assert!(world.run_until(5_000, |w| w.faults.late_write.is_none()));
     world.run(13_000);
     let term = world.term();
--- a/src/engine/tests/leader_change_at_scale.rs
+++ b/src/engine/tests/leader_change_at_scale.rs
@@ -5,7 +5,7 @@
 use super::quick;
 use super::world::World;
 use crate::model::Ms;
-use crate::wire::user::Kind;
+use crate::wire::user::JobKind;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -30,7 +30,7 @@
     let mut world = fleet(machines);
     world.run(30_000);
     // What begins after the change of leader need not wait for a boot.
-    world.submit(quick("run-8", Kind::Array, 40));
+    world.submit(quick("run-8", JobKind::Array, 40));
     assert!(world.run_until(120_000, |w| w.done("run-8")));
     world
 }
@@ -50,7 +50,7 @@
     let (starts, term, ended_at) = (world.starts, world.term(), world.now);
     let leader = world.leader().unwrap();
     world.crash(leader);
-    world.submit(quick("run-9", Kind::Array, 40));
+    world.submit(quick("run-9", JobKind::Array, 40));
     let started = |w: &World| w.starts > starts;
     let during_cut = world.run_until(CUT_MS, started).then_some(world.now);
     world.run((ended_at + CUT_MS).saturating_sub(world.now));
--- a/src/engine/tests/links.rs
+++ b/src/engine/tests/links.rs
@@ -4,7 +4,7 @@
 use super::quick;
 use super::world::World;
 use crate::model::Ms;
-use crate::wire::user::{Job, Kind, Priority};
+use crate::wire::user::{JobKind, JobSubmission, Priority};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -14,11 +14,11 @@
 const LONGEST_BESIDE_ROOM: Ms = 90_000;
 
 /// The largest jobs of each kind, and when each was submitted.
-fn large_jobs() -> [Job; 2] {
-    let mut gang = quick("run-gang", Kind::Gang, 8);
-    (gang.gpus, gang.one_zone) = (4.0, true);
+fn large_jobs() -> [JobSubmission; 2] {
+    let mut gang = quick("run-gang", JobKind::Gang, 8);
+    (gang.gpus, gang.single_zone) = (4.0, true);
     (gang.cpus, gang.memory_gb) = (16.0, 64.0);
-    let mut array = quick("run-array", Kind::Array, 150);
+    let mut array = quick("run-array", JobKind::Array, 150);
     array.priority = Priority::Low;
     [gang, array]
 }
@@ -39,8 +39,8 @@
     for second in 0..seconds {
         for _ in 0..3 {
             *submitted += 1;
-            let mut job = quick(&format!("run-{submitted}"), Kind::Array, 2);
-            job.estimate_s = 16.0;
+            let mut job = quick(&format!("run-{submitted}"), JobKind::Array, 2);
+            job.expected_duration_s = 16.0;
             if second % 2 == 0 {
                 job.priority = Priority::High;
             }
@@ -112,7 +112,7 @@
         let of = format!("seed {seed}, links slow by up to {slow_links} ms");
         let mut world = slow_world(seed, slow_links);
         for n in 0..20 {
-            let kind = [Kind::Array, Kind::Gang][n % 2];
+            let kind = [JobKind::Array, JobKind::Gang][n % 2];
             world.submit(quick(&format!("run-{n}"), kind, 3));
             world.run(4_000);
             if n % 7 == 3
--- a/src/engine/tests/machine_lists.rs
+++ b/src/engine/tests/machine_lists.rs
@@ -1,11 +1,12 @@
 //! Lists of machines that the cloud gets wrong.
 
 use super::world::{ListFault, World};
-use super::{k, quick, world_with};
-use crate::wire::user::Kind;
+use super::{quick, world_with};
+use crate::constants;
+use crate::wire::user::JobKind;
 
 fn world_with_machines() -> World {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 4)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 4)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 4));
     world
 }
@@ -21,10 +22,10 @@
         let before = world.listed_pages;
         world.run(60_000);
         let pages = world.listed_pages - before;
-        let lists = 60_000 / k::LIST_EVERY_MS + 1;
+        let lists = 60_000 / constants::MACHINE_LIST_INTERVAL_MS + 1;
         let most = match fault {
             ListFault::Repeats => 2 * lists,
-            _ => lists * u64::from(k::MACHINE_PAGES_MOST + 1),
+            _ => lists * u64::from(constants::MAX_MACHINE_LIST_PAGES + 1),
         };
         assert!(pages <= most, "{fault:?}: {pages} pages in a minute");
         world.faults.list = ListFault::None;
@@ -59,7 +60,7 @@
     let leader = world.leader().unwrap();
     world.restart(leader, 1_000);
     let machines = world.workers.len();
-    world.submit(quick("run-2", Kind::Array, 8));
+    world.submit(quick("run-2", JobKind::Array, 8));
     world.run(60_000);
     assert_eq!(world.workers.len(), machines, "nothing rented");
     assert!(busy.iter().all(|m| !world.returned.contains(m)));
--- a/src/engine/tests/mod.rs
+++ b/src/engine/tests/mod.rs
@@ -1,30 +1,30 @@
 //! The engine in a scripted world, under a fake clock.
 
 mod cancellation_forward;
+mod combined_faults;
+mod dependencies;
 mod guards;
 mod large;
 mod large_gangs;
 mod leader_change_at_scale;
 mod links;
 mod machine_lists;
-mod meetings;
-mod pipelines;
 mod replay;
 mod requirements;
 mod stored;
 mod world;
 
-use crate::constants as k;
-use crate::wire::user::{Job, JobState, Kind, Priority, tests::job};
+use crate::constants;
+use crate::wire::user::{JobKind, JobState, JobSubmission, Priority, tests::job};
 use world::World;
 
-fn quick(id: &str, kind: Kind, tasks: u64) -> Job {
+fn quick(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
     let mut job = job(id, kind, tasks);
-    job.estimate_s = if kind == Kind::Service { 0.0 } else { 10.0 };
+    job.expected_duration_s = if kind == JobKind::Service { 0.0 } else { 10.0 };
     job
 }
 
-fn world_with(jobs: Vec<Job>) -> World {
+fn world_with(jobs: Vec<JobSubmission>) -> World {
     // LOG_LEVEL-like output of the engines, for whoever looks into a failure: run with --nocapture.
     let _ = tracing_subscriber::fmt().with_test_writer().try_init();
     let mut world = World::new(3, 8.0);
@@ -38,10 +38,10 @@
 /// All eight replicas run, on machines of both zones.
 fn world_of_two_services() -> World {
     let mut jobs = vec![
-        quick("run-1", Kind::Service, 4),
-        quick("run-2", Kind::Service, 4),
+        quick("run-1", JobKind::Service, 4),
+        quick("run-2", JobKind::Service, 4),
     ];
-    jobs[1].spread = true;
+    jobs[1].spread_zones = true;
     let mut world = world_with(jobs);
     assert!(world.run_until(60_000, |w| w.running("run-1") + w.running("run-2") == 8));
     world
@@ -62,9 +62,9 @@
 #[test]
 fn jobs_of_each_kind_run_and_leave_nothing_behind() {
     let mut world = world_with(vec![
-        quick("run-1", Kind::Array, 5),
-        quick("run-2", Kind::Gang, 2),
-        quick("run-3", Kind::Service, 1),
+        quick("run-1", JobKind::Array, 5),
+        quick("run-2", JobKind::Gang, 2),
+        quick("run-3", JobKind::Service, 1),
     ]);
     ends_well(&mut world, "run-1", 120_000);
     ends_well(&mut world, "run-2", 120_000);
@@ -89,8 +89,8 @@
     // From before the start is planned until after its end is written.
     for crash_at in (20_000..52_000).step_by(370) {
         let mut world = world_with(vec![
-            quick("run-1", Kind::Array, 6),
-            quick("run-2", Kind::Gang, 2),
+            quick("run-1", JobKind::Array, 6),
+            quick("run-2", JobKind::Gang, 2),
         ]);
         world.run(crash_at);
         if let Some(leader) = world.leader() {
@@ -108,7 +108,7 @@
 #[test]
 fn all_nodes_lost_at_once_lose_no_job() {
     for (at, pause) in [(1_500, 300), (24_000, 4_000), (31_000, 4_000)] {
-        let mut world = world_with(vec![quick("run-1", Kind::Array, 4)]);
+        let mut world = world_with(vec![quick("run-1", JobKind::Array, 4)]);
         world.run(at);
         for node in 0..3 {
             world.crash(node);
@@ -125,7 +125,7 @@
 /// never up.
 #[test]
 fn a_take_over_returns_no_machine_that_works() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     world.run(120_000);
     let leader = world.leader().unwrap();
@@ -138,17 +138,17 @@
 /// A new leader once rented a whole fleet again, because the machines had not reported to it.
 #[test]
 fn a_take_over_with_work_waiting_rents_nothing_that_is_there() {
-    let mut first = quick("run-1", Kind::Array, 4);
-    first.estimate_s = 400.0;
+    let mut first = quick("run-1", JobKind::Array, 4);
+    first.expected_duration_s = 400.0;
     let mut world = world_with(vec![first]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 4));
-    world.submit(quick("run-2", Kind::Array, 4));
+    world.submit(quick("run-2", JobKind::Array, 4));
     ends_well(&mut world, "run-2", 60_000);
     world.run(15_000);
     let machines = world.workers.len() + world.returned.len();
     let leader = world.leader().unwrap();
     world.crash(leader);
-    world.submit(quick("run-3", Kind::Array, 4));
+    world.submit(quick("run-3", JobKind::Array, 4));
     ends_well(&mut world, "run-3", 60_000);
     assert_eq!(world.workers.len() + world.returned.len(), machines);
 }
@@ -157,8 +157,8 @@
 fn commits_without_an_answer_are_found_out_about() {
     for every in 2..5 {
         let mut world = world_with(vec![
-            quick("run-1", Kind::Array, 6),
-            quick("run-2", Kind::Gang, 3),
+            quick("run-1", JobKind::Array, 6),
+            quick("run-2", JobKind::Gang, 3),
         ]);
         world.faults.lose_every = every;
         ends_well(&mut world, "run-1", 240_000);
@@ -168,9 +168,9 @@
 
 #[test]
 fn an_outage_of_the_state_service_stops_starts_but_not_work() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
-    world.submit(quick("run-2", Kind::Array, 1));
+    world.submit(quick("run-2", JobKind::Array, 1));
     world.faults.store_down = true;
     world.run(15_000);
     assert_eq!(world.starts, 1, "nothing is started in doubt");
@@ -182,16 +182,16 @@
 
 #[test]
 fn a_leader_that_alone_is_refused_gives_way() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     let old = world.leader().unwrap();
     world.faults.store_refuses.insert(old);
-    assert!(world.run_until(2 * k::LEASE_TTL_MS, |w| {
+    assert!(world.run_until(2 * constants::LEASE_TTL_MS, |w| {
         w.leader().is_some_and(|l| l != old)
     }));
     world.run(2_000);
     assert!(!world.engine(old).unwrap().view().leading);
-    world.submit(quick("run-2", Kind::Array, 2));
+    world.submit(quick("run-2", JobKind::Array, 2));
     ends_well(&mut world, "run-2", 60_000);
     assert_eq!(world.starts, 3, "nothing was started again");
 }
@@ -200,7 +200,7 @@
 /// nobody can take over: the leader stops answering in time for the worker's lease to end.
 #[test]
 fn a_cancellation_reaches_tasks_whose_leader_is_cut_off() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     let leader = world.leader().unwrap();
     for node in (0..3).filter(|n| *n != leader) {
@@ -216,9 +216,9 @@
 
 #[test]
 fn a_cut_zone_keeps_its_work_and_hears_of_cancellations() {
-    let mut one = quick("run-1", Kind::Service, 1);
+    let mut one = quick("run-1", JobKind::Service, 1);
     one.zone = Some("west".into());
-    let mut other = quick("run-2", Kind::Service, 1);
+    let mut other = quick("run-2", JobKind::Service, 1);
     other.zone = Some("west".into());
     let mut world = world_with(vec![one, other]);
     assert!(world.run_until(60_000, |w| w.running("run-1") + w.running("run-2") == 2));
@@ -257,7 +257,7 @@
 /// of the time that it may keep them.
 #[test]
 fn a_zone_cut_off_from_everything_keeps_its_work_for_the_whole_grace() {
-    let mut service = quick("run-1", Kind::Service, 3);
+    let mut service = quick("run-1", JobKind::Service, 3);
     service.zone = Some("west".into());
     let mut world = world_with(vec![service]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 3));
@@ -288,7 +288,7 @@
 
 #[test]
 fn a_hung_machine_is_replaced_without_running_twice() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     let machine = world.machine_of("run-1").unwrap();
     world.faults.hung.insert(machine.clone());
@@ -303,12 +303,12 @@
 
 #[test]
 fn failing_machines_are_put_aside_and_failing_jobs_slowed_down() {
-    let mut world = world_with(vec![quick("run-1", Kind::Array, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Array, 1)]);
     ends_well(&mut world, "run-1", 60_000);
     let machine = world.workers.keys().next().unwrap().clone();
     world.faults.sick.insert(machine.clone());
-    world.submit(quick("run-2", Kind::Array, 1));
-    world.submit(quick("run-3", Kind::Array, 1));
+    world.submit(quick("run-2", JobKind::Array, 1));
+    world.submit(quick("run-3", JobKind::Array, 1));
     ends_well(&mut world, "run-2", 120_000);
     ends_well(&mut world, "run-3", 120_000);
     assert!(
@@ -316,7 +316,7 @@
         "the sick machine is given back"
     );
     let healthy = world.returned.len();
-    world.submit(quick("run-4", Kind::Array, 1));
+    world.submit(quick("run-4", JobKind::Array, 1));
     world.faults.faulty.insert("run-4".into());
     let before = world.starts;
     world.run(100_000);
@@ -334,13 +334,13 @@
 #[test]
 fn late_and_repeated_reports_change_nothing() {
     let mut world = world_with(vec![
-        quick("run-1", Kind::Service, 2),
-        quick("run-2", Kind::Array, 2),
+        quick("run-1", JobKind::Service, 2),
+        quick("run-2", JobKind::Array, 2),
     ]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 2));
     let machine = world.machine_of("run-1").unwrap();
     for _ in 0..20 {
-        world.repeat_reports(&world.reports(&machine));
+        world.repeat_heartbeats(&world.heartbeats(&machine));
         world.run(700);
     }
     assert_eq!((world.running("run-1"), world.starts), (2, 4));
@@ -349,12 +349,12 @@
 
 #[test]
 fn unknown_tasks_are_stopped_before_their_machine_is_used() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     let machine = world.machine_of("run-1").unwrap();
     world
         .jobs
-        .insert("run-9".into(), quick("run-9", Kind::Service, 1));
+        .insert("run-9".into(), quick("run-9", JobKind::Service, 1));
     world.plant(&machine, "run-9/0");
     world.run(8_000);
     assert_eq!(world.running("run-9"), 0);
@@ -364,7 +364,7 @@
 #[test]
 fn team_limits_hold_under_load() {
     let jobs = (1..6)
-        .map(|n| quick(&format!("run-{n}"), Kind::Array, 6))
+        .map(|n| quick(&format!("run-{n}"), JobKind::Array, 6))
         .collect();
     let mut world = world_with(jobs);
     for n in 1..6 {
@@ -374,8 +374,8 @@
 
 #[test]
 fn the_largest_array_goes_on_after_a_take_over() {
-    let mut large = quick("run-1", Kind::Array, 100_000);
-    large.estimate_s = 0.5;
+    let mut large = quick("run-1", JobKind::Array, 100_000);
+    large.expected_duration_s = 0.5;
     let mut world = world_with(vec![large]);
     world.run(90_000);
     let (before, rounds) = (world.starts, world.keys("rounds/"));
@@ -392,14 +392,14 @@
 /// given work again and again, and never returned.
 #[test]
 fn a_deaf_machine_gets_no_work_and_is_replaced_after_proof() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     world.run(10_000);
     let machine = world.machine_of("run-1").unwrap();
     world.faults.deaf.insert(machine.clone());
     world.run(10_000);
     // It asked another node meanwhile: from here on it can be seen that it hears nothing.
-    world.submit(quick("run-2", Kind::Array, 3));
+    world.submit(quick("run-2", JobKind::Array, 3));
     assert!(
         world.run_until(60_000, |w| w.done("run-2")),
         "{}",
@@ -414,7 +414,7 @@
 /// The same for a machine that never heard this leader, with a task on it from before.
 #[test]
 fn a_machine_deaf_since_a_take_over_is_replaced() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     let machine = world.machine_of("run-1").unwrap();
     let leader = world.leader().unwrap();
@@ -429,14 +429,14 @@
 /// to a new one, and of a machine that is gone.
 #[test]
 fn late_copies_are_no_sign_of_life_and_bring_nothing_back() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     world.run(20_000);
     let machine = world.machine_of("run-1").unwrap();
-    let reports = world.reports(&machine);
+    let heartbeats = world.heartbeats(&machine);
     world.faults.hung.insert(machine.clone());
     for _ in 0..25 {
-        world.repeat_reports(&reports);
+        world.repeat_heartbeats(&heartbeats);
         world.run(1_000);
     }
     assert!(
@@ -447,11 +447,11 @@
     let leader = world.leader().unwrap();
     world.crash(leader);
     world.run(6_000);
-    world.submit(quick("run-2", Kind::Gang, 4));
+    world.submit(quick("run-2", JobKind::Gang, 4));
     // A machine rented at once takes 20 s to boot; the image takes 8 s, the work 10 s.
     for _ in 0..48 {
         // The new leader has never heard of that machine: its room must not be counted on.
-        world.repeat_reports(&reports);
+        world.repeat_heartbeats(&heartbeats);
         world.run(1_000);
     }
     assert!(world.done("run-2"), "{}", world.describe());
@@ -497,14 +497,14 @@
 /// kept the machines that came up, and had them taken for dead.
 #[test]
 fn peers_that_refuse_connections_keep_no_worker_from_its_leader() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     let (leader, term) = (world.leader(), world.term());
     world.faults.no_peers.extend([0, 1, 2]);
     world.run(5_000);
     // It needs a machine that is not there yet, and whose worker begins with a follower.
     world.first_node = leader.map(|l| (l + 1) % 3);
-    world.submit(quick("run-2", Kind::Gang, 7));
+    world.submit(quick("run-2", JobKind::Gang, 7));
     ends_well(&mut world, "run-2", 60_000);
     world.run(30_000);
     assert_eq!((world.leader(), world.term()), (leader, term));
@@ -518,8 +518,8 @@
     for (delay, pause) in [(40, 30), (250, 100), (600, 400)] {
         for at in [500, 2_300, 21_900, 24_700, 31_000, 35_500] {
             let mut world = world_with(vec![
-                quick("run-1", Kind::Array, 5),
-                quick("run-2", Kind::Gang, 2),
+                quick("run-1", JobKind::Array, 5),
+                quick("run-2", JobKind::Gang, 2),
             ]);
             world.faults.store_delay = delay;
             world.run(at);
@@ -555,13 +555,13 @@
 /// A worker that restarts before anyone has missed it: a new session at the same address.
 #[test]
 fn a_worker_back_at_once_has_lost_its_tasks_and_gets_them_again() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 3)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 3)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 3));
     world.run(5_000);
     let machine = world.machine_of("run-1").unwrap();
-    let old = world.reports(&machine);
+    let old = world.heartbeats(&machine);
     world.restart_worker(&machine);
-    world.repeat_reports(&old);
+    world.repeat_heartbeats(&old);
     assert!(world.run_until(40_000, |w| w.running("run-1") == 3));
     assert_eq!((world.starts, world.returned.len()), (6, 0));
     assert_eq!(world.broken, Vec::<String>::new());
@@ -579,16 +579,16 @@
         for _ in 0..ms / 1_000 {
             for _ in 0..2 {
                 small += 1;
-                let mut job = quick(&format!("run-{small}"), Kind::Array, 2);
-                job.estimate_s = 20.0;
+                let mut job = quick(&format!("run-{small}"), JobKind::Array, 2);
+                job.expected_duration_s = 20.0;
                 world.submit(job);
             }
             world.run(1_000);
         }
     };
     feed(&mut world, 60_000);
-    let mut large = quick("run-gang", Kind::Gang, 16);
-    (large.gpus, large.one_zone) = (4.0, true);
+    let mut large = quick("run-gang", JobKind::Gang, 16);
+    (large.gpus, large.single_zone) = (4.0, true);
     (large.cpus, large.memory_gb) = (16.0, 64.0);
     world.submit(large);
     feed(&mut world, 60_000);
@@ -608,13 +608,13 @@
 /// Starts once waited for the machine's next report, on average half an interval.
 #[test]
 fn a_written_start_is_fetched_at_once() {
-    let mut world = world_with(vec![quick("run-1", Kind::Service, 1)]);
+    let mut world = world_with(vec![quick("run-1", JobKind::Service, 1)]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     for n in 2..7 {
         // At various times within a report's interval; not more often than a worker reports so.
         world.run(9_000 + 500 * n);
         let id = format!("run-{n}");
-        world.submit(quick(&id, Kind::Service, 1));
+        world.submit(quick(&id, JobKind::Service, 1));
         let before = world.starts;
         assert!(
             world.run_until(800, |w| w.starts > before),
@@ -632,8 +632,8 @@
     let mut world = World::new(3, 40.0);
     world.run(2_000);
     for n in 0..10 {
-        let mut job = quick(&format!("run-{n}"), Kind::Array, 4);
-        job.estimate_s = 300.0;
+        let mut job = quick(&format!("run-{n}"), JobKind::Array, 4);
+        job.expected_duration_s = 300.0;
         world.submit(job);
     }
     assert!(world.run_until(60_000, |w| w.starts > 0));
@@ -654,7 +654,7 @@
     assert!((0..3).all(|n| world.engine(n).unwrap().view().ready));
     world.faults.cloud_down = false;
     world.run(5_000);
-    world.submit(quick("run-1", Kind::Array, 1));
+    world.submit(quick("run-1", JobKind::Array, 1));
     ends_well(&mut world, "run-1", 60_000);
 }
 
@@ -665,17 +665,17 @@
     let mut world = World::new(3, 400.0);
     world.faults.capacity = Some(4);
     world.run(2_000);
-    let mut array = quick("run-array", Kind::Array, 150);
+    let mut array = quick("run-array", JobKind::Array, 150);
     array.priority = Priority::Low;
-    let mut service = quick("run-service", Kind::Service, 8);
-    (service.priority, service.spread) = (Priority::Normal, true);
+    let mut service = quick("run-service", JobKind::Service, 8);
+    (service.priority, service.spread_zones) = (Priority::Normal, true);
     let mut urgent = 0;
     for second in 0..340 {
         // Twice what the eight machines can do.
         for _ in 0..2 {
             urgent += 1;
-            let mut job = quick(&format!("run-{urgent}"), Kind::Array, 2);
-            (job.priority, job.estimate_s) = (Priority::High, 16.0);
+            let mut job = quick(&format!("run-{urgent}"), JobKind::Array, 2);
+            (job.priority, job.expected_duration_s) = (Priority::High, 16.0);
             world.submit(job);
         }
         if second == 100 {
@@ -699,11 +699,11 @@
     world.faults.capacity = Some(1);
     world.run(2_000);
     for n in 0..130 {
-        let mut gang = quick(&format!("run-1{n}"), Kind::Gang, 16);
+        let mut gang = quick(&format!("run-1{n}"), JobKind::Gang, 16);
         (gang.gpus, gang.priority) = (4.0, Priority::High);
         world.submit(gang);
     }
-    let mut low = quick("run-2", Kind::Array, 4);
+    let mut low = quick("run-2", JobKind::Array, 4);
     low.priority = Priority::Low;
     world.submit(low);
     ends_well(&mut world, "run-2", 60_000);
@@ -714,8 +714,8 @@
 fn the_starts_of_a_large_gang_are_written_in_several_records_as_one() {
     for lose_every in [0, 2] {
         let mut world = World::new(3, 400.0);
-        let mut gang = quick("run-1", Kind::Gang, 300);
-        gang.estimate_s = 60.0;
+        let mut gang = quick("run-1", JobKind::Gang, 300);
+        gang.expected_duration_s = 60.0;
         world.run(2_000);
         world.submit(gang);
         world.faults.lose_every = lose_every;
@@ -735,8 +735,8 @@
 #[test]
 fn idle_machines_are_returned_soon_after_a_restart() {
     let mut world = world_with(vec![
-        quick("run-1", Kind::Array, 8),
-        quick("run-2", Kind::Service, 1),
+        quick("run-1", JobKind::Array, 8),
+        quick("run-2", JobKind::Service, 1),
     ]);
     ends_well(&mut world, "run-1", 60_000);
     for node in 0..3 {
@@ -762,7 +762,7 @@
 fn leaders_that_end_one_after_the_other_still_rent() {
     let mut world = World::new(3, 400.0);
     world.run(2_000);
-    world.submit(quick("run-1", Kind::Service, 20));
+    world.submit(quick("run-1", JobKind::Service, 20));
     assert!(world.run_until(60_000, |w| w.running("run-1") == 20));
     // Long enough for none of the machines to be taken for booting.
     world.run(30_000);
@@ -773,7 +773,7 @@
         world.crash(leader);
         if round == 1 {
             // More whole machines than are kept for what is expected.
-            let mut gang = quick("run-2", Kind::Gang, 10);
+            let mut gang = quick("run-2", JobKind::Gang, 10);
             (gang.gpus, gang.cpus, gang.memory_gb) = (4.0, 16.0, 64.0);
             world.submit(gang);
         }
@@ -790,11 +790,11 @@
 #[test]
 fn half_empty_machines_of_services_are_joined_and_one_is_returned() {
     let mut world = world_with(vec![
-        quick("run-1", Kind::Service, 2),
-        quick("run-2", Kind::Service, 2),
+        quick("run-1", JobKind::Service, 2),
+        quick("run-2", JobKind::Service, 2),
     ]);
     assert!(world.run_until(60_000, |w| w.running("run-1") + w.running("run-2") == 4));
-    world.submit(quick("run-3", Kind::Service, 2));
+    world.submit(quick("run-3", JobKind::Service, 2));
     assert!(world.run_until(60_000, |w| w.running("run-3") == 2));
     assert_eq!(world.workers.len(), 2);
     world.cancel("run-1");
--- a/src/engine/tests/replay/mirror.rs
+++ b/src/engine/tests/replay/mirror.rs
@@ -3,7 +3,7 @@
 use super::script;
 use super::script::Body;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
-use crate::engine::{Command, Effect, Engine, Reply, View};
+use crate::engine::{Command, Effect, Engine, EngineStatus, Reply};
 use crate::peer::Announcement;
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::{decode, encode};
@@ -30,7 +30,7 @@
 }
 
 /// What a step has produced.
-pub fn outcome(effects: &[Effect], view: &View) -> script::Outcome {
+pub fn outcome(effects: &[Effect], view: &EngineStatus) -> script::Outcome {
     script::Outcome {
         effects: effects.iter().map(record_effect).collect(),
         status: script::Status {
@@ -38,8 +38,8 @@
             leading: view.leading,
             term: view.term,
             leader: view.leader.clone(),
-            types_known: view.types.is_some(),
-            store_ok: view.store_ok,
+            types_known: view.machine_types.is_some(),
+            store_ok: view.store_reachable,
         },
     }
 }
@@ -47,33 +47,33 @@
 /// A command as it is kept in a script.
 pub fn record_command(command: &Command) -> script::Command {
     match command {
-        Command::Report { report, reply } => script::Command::Heartbeat {
-            body: body(report),
+        Command::Heartbeat { heartbeat, reply } => script::Command::Heartbeat {
+            body: body(heartbeat),
             reply: *reply,
         },
-        Command::Count { job, reply } => script::Command::TaskCounts {
+        Command::CountTasks { job, reply } => script::Command::TaskCounts {
             job: job.to_string(),
             reply: *reply,
         },
-        Command::StoreDone { op, result } => script::Command::StoreAnswer {
-            call: *op,
+        Command::StoreCallCompleted { call_id, result } => script::Command::StoreAnswer {
+            call: *call_id,
             answer: record_store_answer(result),
         },
-        Command::CloudDone { op, result } => script::Command::CloudAnswer {
-            call: *op,
+        Command::CloudCallCompleted { call_id, result } => script::Command::CloudAnswer {
+            call: *call_id,
             answer: record_cloud_answer(result),
         },
-        Command::Announced(said) => script::Command::Announcement(script::Announcement {
+        Command::PeerAnnounced(said) => script::Command::Announcement(script::Announcement {
             node: said.node.clone(),
             term: said.term,
-            store_ok: said.store_ok,
+            store_ok: said.store_reachable,
         }),
-        Command::Cancelled(job) => script::Command::JobCancelled(job.to_string()),
-        Command::Step { job, reply } => script::Command::BlockedJobState {
+        Command::JobCancelled(job) => script::Command::JobCancelled(job.to_string()),
+        Command::QueryBlockedJob { job, reply } => script::Command::BlockedJobState {
             job: job.to_string(),
             reply: *reply,
         },
-        Command::Named { jobs, reply } => script::Command::UnknownJobs {
+        Command::FindUnknownJobs { jobs, reply } => script::Command::UnknownJobs {
             jobs: texts(jobs),
             reply: *reply,
         },
@@ -82,33 +82,33 @@
 
 fn command_of(command: &script::Command) -> Command {
     match command {
-        script::Command::Heartbeat { body, reply } => Command::Report {
-            report: message(body),
+        script::Command::Heartbeat { body, reply } => Command::Heartbeat {
+            heartbeat: message(body),
             reply: *reply,
         },
-        script::Command::TaskCounts { job, reply } => Command::Count {
+        script::Command::TaskCounts { job, reply } => Command::CountTasks {
             job: job.as_str().into(),
             reply: *reply,
         },
-        script::Command::StoreAnswer { call, answer } => Command::StoreDone {
-            op: *call,
+        script::Command::StoreAnswer { call, answer } => Command::StoreCallCompleted {
+            call_id: *call,
             result: store_result(answer),
         },
-        script::Command::CloudAnswer { call, answer } => Command::CloudDone {
-            op: *call,
+        script::Command::CloudAnswer { call, answer } => Command::CloudCallCompleted {
+            call_id: *call,
             result: cloud_result(answer),
         },
-        script::Command::Announcement(said) => Command::Announced(Announcement {
+        script::Command::Announcement(said) => Command::PeerAnnounced(Announcement {
             node: said.node.clone(),
             term: said.term,
-            store_ok: said.store_ok,
+            store_reachable: said.store_ok,
         }),
-        script::Command::JobCancelled(job) => Command::Cancelled(job.as_str().into()),
-        script::Command::BlockedJobState { job, reply } => Command::Step {
+        script::Command::JobCancelled(job) => Command::JobCancelled(job.as_str().into()),
+        script::Command::BlockedJobState { job, reply } => Command::QueryBlockedJob {
             job: job.as_str().into(),
             reply: *reply,
         },
-        script::Command::UnknownJobs { jobs, reply } => Command::Named {
+        script::Command::UnknownJobs { jobs, reply } => Command::FindUnknownJobs {
             jobs: jobs.iter().map(|job| job.as_str().into()).collect(),
             reply: *reply,
         },
@@ -118,50 +118,50 @@
 fn record_store_answer(result: &Result<StoreReply, StoreError>) -> script::StoreAnswer {
     use script::StoreAnswer as Answer;
     match result {
-        Ok(StoreReply::Got(item)) => Answer::Item(item.as_ref().map(body)),
-        Ok(StoreReply::Listed(listing)) => Answer::Listing(body(listing)),
+        Ok(StoreReply::Item(item)) => Answer::Item(item.as_ref().map(body)),
+        Ok(StoreReply::Listing(listing)) => Answer::Listing(body(listing)),
         Ok(StoreReply::Committed { revision }) => Answer::Committed {
             revision: *revision,
         },
-        Ok(StoreReply::Held { lease }) => Answer::LeaseGranted { lease: *lease },
-        Ok(StoreReply::Ok) => Answer::Done,
-        Ok(StoreReply::Changed(changes)) => Answer::Changes(body(changes)),
+        Ok(StoreReply::LeaseGranted { lease }) => Answer::LeaseGranted { lease: *lease },
+        Ok(StoreReply::LeaseUpdated) => Answer::Done,
+        Ok(StoreReply::Changes(changes)) => Answer::Changes(body(changes)),
         Err(StoreError::Conflict(keys)) => Answer::Conflict(keys.clone()),
         Err(StoreError::NoLease) => Answer::NoLease,
-        Err(StoreError::TooOld) => Answer::TooOld,
-        Err(StoreError::Refused(reason)) => Answer::Refused(reason.clone()),
+        Err(StoreError::Compacted) => Answer::TooOld,
+        Err(StoreError::NotExecuted(reason)) => Answer::Refused(reason.clone()),
         Err(StoreError::Unknown(reason)) => Answer::Unknown(reason.clone()),
-        Err(StoreError::Bad(reason)) => Answer::Bad(reason.clone()),
+        Err(StoreError::Malformed(reason)) => Answer::Bad(reason.clone()),
     }
 }
 
 fn store_result(answer: &script::StoreAnswer) -> Result<StoreReply, StoreError> {
     use script::StoreAnswer as Answer;
     match answer {
-        Answer::Item(item) => Ok(StoreReply::Got(item.as_ref().map(message))),
-        Answer::Listing(listing) => Ok(StoreReply::Listed(message(listing))),
+        Answer::Item(item) => Ok(StoreReply::Item(item.as_ref().map(message))),
+        Answer::Listing(listing) => Ok(StoreReply::Listing(message(listing))),
         Answer::Committed { revision } => Ok(StoreReply::Committed {
             revision: *revision,
         }),
-        Answer::LeaseGranted { lease } => Ok(StoreReply::Held { lease: *lease }),
-        Answer::Done => Ok(StoreReply::Ok),
-        Answer::Changes(changes) => Ok(StoreReply::Changed(message(changes))),
+        Answer::LeaseGranted { lease } => Ok(StoreReply::LeaseGranted { lease: *lease }),
+        Answer::Done => Ok(StoreReply::LeaseUpdated),
+        Answer::Changes(changes) => Ok(StoreReply::Changes(message(changes))),
         Answer::Conflict(keys) => Err(StoreError::Conflict(keys.clone())),
         Answer::NoLease => Err(StoreError::NoLease),
-        Answer::TooOld => Err(StoreError::TooOld),
-        Answer::Refused(reason) => Err(StoreError::Refused(reason.clone())),
+        Answer::TooOld => Err(StoreError::Compacted),
+        Answer::Refused(reason) => Err(StoreError::NotExecuted(reason.clone())),
         Answer::Unknown(reason) => Err(StoreError::Unknown(reason.clone())),
-        Answer::Bad(reason) => Err(StoreError::Bad(reason.clone())),
+        Answer::Bad(reason) => Err(StoreError::Malformed(reason.clone())),
     }
 }
 
 fn record_cloud_answer(result: &Result<CloudReply, CloudError>) -> script::CloudAnswer {
     use script::CloudAnswer as Answer;
     match result {
-        Ok(CloudReply::Types(types)) => Answer::Types(body(types)),
+        Ok(CloudReply::MachineTypes(types)) => Answer::Types(body(types)),
         Ok(CloudReply::Rented(machines)) => Answer::Rented(machines.clone()),
         Ok(CloudReply::Returned) => Answer::Returned,
-        Ok(CloudReply::Listed(list)) => Answer::Listed(body(list)),
+        Ok(CloudReply::MachinePage(list)) => Answer::Listed(body(list)),
         Err(CloudError::NoCapacity) => Answer::NoCapacity,
         Err(CloudError::Failed(reason)) => Answer::Failed(reason.clone()),
     }
@@ -170,10 +170,10 @@
 fn cloud_result(answer: &script::CloudAnswer) -> Result<CloudReply, CloudError> {
     use script::CloudAnswer as Answer;
     match answer {
-        Answer::Types(types) => Ok(CloudReply::Types(message(types))),
+        Answer::Types(types) => Ok(CloudReply::MachineTypes(message(types))),
         Answer::Rented(machines) => Ok(CloudReply::Rented(machines.clone())),
         Answer::Returned => Ok(CloudReply::Returned),
-        Answer::Listed(list) => Ok(CloudReply::Listed(message(list))),
+        Answer::Listed(list) => Ok(CloudReply::MachinePage(message(list))),
         Answer::NoCapacity => Err(CloudError::NoCapacity),
         Answer::Failed(reason) => Err(CloudError::Failed(reason.clone())),
     }
@@ -185,33 +185,37 @@
             to: *to,
             reply: record_reply(reply),
         },
-        Effect::Store { op, call, urgent } => script::Effect::Store {
-            call: *op,
+        Effect::CallStore {
+            call_id,
+            call,
+            urgent,
+        } => script::Effect::Store {
+            call: *call_id,
             urgent: *urgent,
             request: record_store_request(call),
         },
-        Effect::Cloud { op, call } => script::Effect::Cloud {
-            call: *op,
+        Effect::CallCloud { call_id, call } => script::Effect::Cloud {
+            call: *call_id,
             request: record_cloud_request(call),
         },
-        Effect::Orders { addr, orders } => script::Effect::WorkerCommands {
-            address: addr.to_string(),
-            body: body(orders),
+        Effect::SendCommands { address, commands } => script::Effect::WorkerCommands {
+            address: address.to_string(),
+            body: body(commands),
         },
     }
 }
 
 fn record_reply(reply: &Reply) -> script::Reply {
     match reply {
-        Reply::Orders(orders) => script::Reply::HeartbeatAnswer(body(orders)),
-        Reply::Elsewhere(node) => script::Reply::Redirect(node.clone()),
+        Reply::HeartbeatAccepted(commands) => script::Reply::HeartbeatAnswer(body(commands)),
+        Reply::RedirectToLeader(node) => script::Reply::Redirect(node.clone()),
         Reply::Unavailable => script::Reply::Unavailable,
-        Reply::Counts { done, running } => script::Reply::TaskCounts {
-            done: *done,
+        Reply::TaskCounts { completed, running } => script::Reply::TaskCounts {
+            done: *completed,
             running: *running,
         },
-        Reply::Step(state) => script::Reply::BlockedJobState(state.as_ref().map(body)),
-        Reply::NotKnown(jobs) => script::Reply::UnknownJobs(texts(jobs)),
+        Reply::BlockedJobState(state) => script::Reply::BlockedJobState(state.as_ref().map(body)),
+        Reply::UnknownJobs(jobs) => script::Reply::UnknownJobs(texts(jobs)),
     }
 }
 
@@ -224,9 +228,9 @@
             after: after.clone(),
         },
         StoreCall::Commit(txn) => Request::Commit(body(txn)),
-        StoreCall::Hold { ttl_ms } => Request::GrantLease { ttl_ms: *ttl_ms },
-        StoreCall::Touch { lease } => Request::RenewLease { lease: *lease },
-        StoreCall::Drop { lease } => Request::EndLease { lease: *lease },
+        StoreCall::GrantLease { ttl_ms } => Request::GrantLease { ttl_ms: *ttl_ms },
+        StoreCall::KeepAlive { lease } => Request::RenewLease { lease: *lease },
+        StoreCall::RevokeLease { lease } => Request::EndLease { lease: *lease },
         StoreCall::Watch {
             prefix,
             after,
@@ -242,10 +246,10 @@
 fn record_cloud_request(call: &CloudCall) -> script::CloudRequest {
     use script::CloudRequest as Request;
     match call {
-        CloudCall::Types => Request::Types,
+        CloudCall::ListMachineTypes => Request::Types,
         CloudCall::Rent(rent) => Request::Rent(body(rent)),
         CloudCall::Return(machines) => Request::Return(machines.clone()),
-        CloudCall::List { after } => Request::List {
+        CloudCall::ListMachines { after } => Request::List {
             after: after.clone(),
         },
     }
--- a/src/engine/tests/replay/recorder.rs
+++ b/src/engine/tests/replay/recorder.rs
@@ -2,7 +2,7 @@
 
 use super::mirror;
 use super::script::{Command, Process, Script, Step};
-use crate::engine::{self, Effect, View};
+use crate::engine::{self, Effect, EngineStatus};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
@@ -21,7 +21,7 @@
     }
 
     /// A node's engine took a step.
-    pub fn record(&mut self, node: usize, input: Input, effects: &[Effect], view: &View) {
+    pub fn record(&mut self, node: usize, input: Input, effects: &[Effect], view: &EngineStatus) {
         let position = self.current[&node];
         self.script.processes[position].steps.push(Step {
             now: input.now,
--- a/src/engine/tests/replay/scenarios.rs
+++ b/src/engine/tests/replay/scenarios.rs
@@ -3,8 +3,8 @@
 use super::super::quick;
 use super::super::world::{ListFault, World};
 use super::script::Script;
-use crate::wire::user::{Job, Kind, Priority};
-use crate::wire::worker::Why;
+use crate::wire::user::{JobKind, JobSubmission, Priority};
+use crate::wire::worker::ExitReason;
 
 /// A scenario with the name of its file.
 pub struct Scenario {
@@ -66,21 +66,21 @@
     },
 ];
 
-fn lasting(id: &str, kind: Kind, tasks: u64, seconds: f64) -> Job {
+fn lasting(id: &str, kind: JobKind, tasks: u64, seconds: f64) -> JobSubmission {
     let mut job = quick(id, kind, tasks);
-    job.estimate_s = seconds;
+    job.expected_duration_s = seconds;
     job
 }
 
-fn awaiting(id: &str, kind: Kind, tasks: u64, awaits: &[&str]) -> Job {
+fn awaiting(id: &str, kind: JobKind, tasks: u64, awaits: &[&str]) -> JobSubmission {
     let mut job = quick(id, kind, tasks);
-    job.awaits = awaits.iter().map(|id| (*id).to_owned()).collect();
+    job.depends_on = awaits.iter().map(|id| (*id).to_owned()).collect();
     job
 }
 
 /// A gang that needs whole machines.
-fn whole_machines(id: &str, tasks: u64, priority: Priority) -> Job {
-    let mut gang = quick(id, Kind::Gang, tasks);
+fn whole_machines(id: &str, tasks: u64, priority: Priority) -> JobSubmission {
+    let mut gang = quick(id, JobKind::Gang, tasks);
     (gang.gpus, gang.cpus, gang.memory_gb) = (4.0, 16.0, 64.0);
     gang.priority = priority;
     gang
@@ -94,13 +94,13 @@
 
 fn jobs_of_all_kinds_and_a_leader_lost(world: &mut World) {
     world.run(2_000);
-    world.submit(quick("run-1", Kind::Array, 7));
-    world.submit(quick("run-2", Kind::Gang, 3));
-    world.submit(quick("run-3", Kind::Service, 2));
+    world.submit(quick("run-1", JobKind::Array, 7));
+    world.submit(quick("run-2", JobKind::Gang, 3));
+    world.submit(quick("run-3", JobKind::Service, 2));
     world.run(26_000);
     let old = crash_leader(world);
     world.run(1_000);
-    world.submit(lasting("run-4", Kind::Array, 12, 4.0));
+    world.submit(lasting("run-4", JobKind::Array, 12, 4.0));
     world.run(9_000);
     world.start(old);
     for node in 0..3 {
@@ -110,14 +110,14 @@
     world.cancel("run-3");
     world.run(20_000);
     for (id, why) in [
-        ("run-5", Why::Peers),
-        ("run-6", Why::Alone),
-        ("run-7", Why::NoRoom),
-        ("run-8", Why::Busy),
-        ("run-9", Why::Unknown),
+        ("run-5", ExitReason::GangPeerLost),
+        ("run-6", ExitReason::GangIncomplete),
+        ("run-7", ExitReason::InsufficientResources),
+        ("run-8", ExitReason::AttemptConflict),
+        ("run-9", ExitReason::UnknownTask),
     ] {
         world.faults.exits.insert(id.into(), why);
-        world.submit(lasting(id, Kind::Gang, 2, 5.0));
+        world.submit(lasting(id, JobKind::Gang, 2, 5.0));
     }
     world.run(20_000);
     world.faults.exits.clear();
@@ -126,13 +126,13 @@
 
 fn dependencies_and_cancellations(world: &mut World) {
     world.run(2_000);
-    world.submit(awaiting("run-1", Kind::Array, 2, &[]));
-    world.submit(awaiting("run-2", Kind::Array, 3, &["run-1"]));
-    world.submit(awaiting("run-3", Kind::Gang, 2, &["run-2"]));
-    world.submit(awaiting("run-4", Kind::Array, 1, &["run-1", "run-3"]));
-    world.submit(lasting("run-5", Kind::Array, 2, 300.0));
-    world.submit(awaiting("run-6", Kind::Array, 2, &["run-5"]));
-    world.submit(awaiting("run-7", Kind::Gang, 2, &["run-6", "run-4"]));
+    world.submit(awaiting("run-1", JobKind::Array, 2, &[]));
+    world.submit(awaiting("run-2", JobKind::Array, 3, &["run-1"]));
+    world.submit(awaiting("run-3", JobKind::Gang, 2, &["run-2"]));
+    world.submit(awaiting("run-4", JobKind::Array, 1, &["run-1", "run-3"]));
+    world.submit(lasting("run-5", JobKind::Array, 2, 300.0));
+    world.submit(awaiting("run-6", JobKind::Array, 2, &["run-5"]));
+    world.submit(awaiting("run-7", JobKind::Gang, 2, &["run-6", "run-4"]));
     world.run(30_000);
     for node in 0..3 {
         world.step_state(node, "run-7");
@@ -157,7 +157,7 @@
     world.faults.store_down = false;
     world.run(35_000);
     crash_leader(world);
-    world.submit(awaiting("run-8", Kind::Array, 1, &["run-4", "run-7"]));
+    world.submit(awaiting("run-8", JobKind::Array, 1, &["run-4", "run-7"]));
     world.run(20_000);
 }
 
@@ -165,16 +165,16 @@
     world.faults.capacity = Some(2);
     (world.faults.saves, world.faults.gathers) = (true, 1_500);
     world.run(2_000);
-    let mut array = lasting("run-1", Kind::Array, 20, 200.0);
-    (array.priority, array.spot) = (Priority::Low, true);
+    let mut array = lasting("run-1", JobKind::Array, 20, 200.0);
+    (array.priority, array.allows_spot) = (Priority::Low, true);
     world.submit(array);
-    let mut service = quick("run-2", Kind::Service, 2);
-    (service.priority, service.spread) = (Priority::Normal, true);
+    let mut service = quick("run-2", JobKind::Service, 2);
+    (service.priority, service.spread_zones) = (Priority::Normal, true);
     world.submit(service);
     world.run(70_000);
     world.submit(whole_machines("run-3", 2, Priority::Production));
     world.run(40_000);
-    let mut urgent = lasting("run-4", Kind::Array, 4, 15.0);
+    let mut urgent = lasting("run-4", JobKind::Array, 4, 15.0);
     urgent.priority = Priority::High;
     world.submit(urgent);
     if let Some(machine) = world.machine_of("run-2") {
@@ -191,8 +191,8 @@
 
 fn machines_lost_and_wrong_lists(world: &mut World) {
     world.run(2_000);
-    world.submit(quick("run-1", Kind::Service, 4));
-    world.submit(lasting("run-2", Kind::Gang, 2, 90.0));
+    world.submit(quick("run-1", JobKind::Service, 4));
+    world.submit(lasting("run-2", JobKind::Gang, 2, 90.0));
     world.run(45_000);
     let hung = world.machine_of("run-1").unwrap();
     world.faults.hung.insert(hung);
@@ -203,7 +203,7 @@
     if let Some(deaf) = world.machine_of("run-1") {
         world.faults.deaf.insert(deaf);
     }
-    world.submit(quick("run-3", Kind::Array, 5));
+    world.submit(quick("run-3", JobKind::Array, 5));
     world.run(40_000);
     world.faults.list = ListFault::None;
     if let Some(sick) = world.machine_of("run-2") {
@@ -213,7 +213,7 @@
         world.restart_worker(&restarted);
     }
     world.faults.faulty.insert("run-4".into());
-    world.submit(quick("run-4", Kind::Array, 2));
+    world.submit(quick("run-4", JobKind::Array, 2));
     world.faults.cloud_down = true;
     world.run(15_000);
     world.faults.cloud_down = false;
@@ -223,14 +223,14 @@
 fn partitions_and_unanswered_calls(world: &mut World) {
     world.faults.slow_links = 400;
     world.run(3_000);
-    world.submit(quick("run-1", Kind::Service, 3));
-    let mut west = quick("run-2", Kind::Service, 2);
+    world.submit(quick("run-1", JobKind::Service, 3));
+    let mut west = quick("run-2", JobKind::Service, 2);
     west.zone = Some("west".into());
     world.submit(west);
     world.run(45_000);
     world.faults.zones_cut = true;
     world.faults.lose_every = 3;
-    world.submit(quick("run-3", Kind::Array, 5));
+    world.submit(quick("run-3", JobKind::Array, 5));
     world.run(15_000);
     world.faults.zones_cut = false;
     world.run(15_000);
@@ -253,10 +253,10 @@
 
 fn consolidation_of_half_empty_machines(world: &mut World) {
     world.run(2_000);
-    world.submit(quick("run-1", Kind::Service, 2));
-    world.submit(quick("run-2", Kind::Service, 2));
+    world.submit(quick("run-1", JobKind::Service, 2));
+    world.submit(quick("run-2", JobKind::Service, 2));
     world.run(45_000);
-    world.submit(quick("run-3", Kind::Service, 2));
+    world.submit(quick("run-3", JobKind::Service, 2));
     world.run(45_000);
     world.cancel("run-1");
     world.run(130_000);
@@ -273,14 +273,19 @@
         Priority::High,
         Priority::Production,
     ];
-    let kinds = [Kind::Array, Kind::Gang, Kind::Array, Kind::Service];
+    let kinds = [
+        JobKind::Array,
+        JobKind::Gang,
+        JobKind::Array,
+        JobKind::Service,
+    ];
     for number in 0..40_u64 {
         let kind = kinds[number as usize % kinds.len()];
         let mut job = quick(&format!("run-{number}"), kind, 1 + number % 5);
         job.priority = priorities[number as usize / 3 % priorities.len()];
         job.gpus = [0.0, 1.0, 2.0][number as usize % 3];
-        job.spread = number % 7 == 3;
-        job.one_zone = number % 5 == 2;
+        job.spread_zones = number % 7 == 3;
+        job.single_zone = number % 5 == 2;
         job.image = format!("img-{}", number % 6);
         world.submit(job);
         world.run(1_500);
@@ -303,12 +308,12 @@
     world.faults.capacity = Some(7);
     world.run(2_000);
     for second in 0..190 {
-        let mut small = lasting(&format!("run-{second}"), Kind::Array, 4, 30.0);
+        let mut small = lasting(&format!("run-{second}"), JobKind::Array, 4, 30.0);
         small.zone = Some("east".into());
         world.submit(small);
         if second == 40 {
             let mut gang = whole_machines("run-1000", 5, Priority::Normal);
-            gang.one_zone = true;
+            gang.single_zone = true;
             world.submit(gang);
         }
         world.run(1_000);
--- a/src/engine/tests/requirements.rs
+++ b/src/engine/tests/requirements.rs
@@ -3,11 +3,11 @@
 use super::world::World;
 use super::{ends_well, quick, world_with};
 use crate::model::{Job as ModelJob, JobId};
-use crate::wire::user::{Job, JobState, Kind};
+use crate::wire::user::{JobKind, JobState, JobSubmission};
 
-fn waiting_for(id: &str, kind: Kind, tasks: u64, awaits: &[&str]) -> Job {
+fn waiting_for(id: &str, kind: JobKind, tasks: u64, awaits: &[&str]) -> JobSubmission {
     let mut job = quick(id, kind, tasks);
-    job.awaits = awaits.iter().map(|id| (*id).to_owned()).collect();
+    job.depends_on = awaits.iter().map(|id| (*id).to_owned()).collect();
     job
 }
 
@@ -21,9 +21,9 @@
 /// by the wait: the due time counts from the submission, the age from when the job could begin.
 #[test]
 fn times_of_a_job_that_waited_survive_a_change_of_leader() {
-    let mut first = quick("run-1", Kind::Array, 1);
-    first.estimate_s = 60.0;
-    let mut last = waiting_for("run-2", Kind::Service, 1, &["run-1"]);
+    let mut first = quick("run-1", JobKind::Array, 1);
+    first.expected_duration_s = 60.0;
+    let mut last = waiting_for("run-2", JobKind::Service, 1, &["run-1"]);
     last.deadline_s = Some(900.0);
     let mut world = world_with(vec![first, last]);
     let submitted = world.now;
@@ -43,10 +43,10 @@
             assert!(world.run_until(20_000, |w| known_to_leader(w, "run-2").is_some()));
         }
         let job = known_to_leader(&world, "run-2").unwrap();
-        assert_eq!(job.submitted, submitted);
-        assert_eq!(job.due(), submitted + 900_000);
+        assert_eq!(job.submitted_at, submitted);
+        assert_eq!(job.deadline(), submitted + 900_000);
         let told_of_the_end = ended - 1_000..ended + 2_000;
-        let ready = job.ready;
+        let ready = job.ready_at;
         assert!(
             told_of_the_end.contains(&ready),
             "ready at {ready}, ended at {ended}"
@@ -58,17 +58,17 @@
 /// that came later and does not wait has it.
 #[test]
 fn a_waiting_job_takes_no_part_of_its_teams_guarantee() {
-    let mut first = quick("run-1", Kind::Array, 1);
-    first.estimate_s = 300.0;
-    let waiting = waiting_for("run-2", Kind::Array, 3, &["run-1"]);
+    let mut first = quick("run-1", JobKind::Array, 1);
+    first.expected_duration_s = 300.0;
+    let waiting = waiting_for("run-2", JobKind::Array, 3, &["run-1"]);
     let mut world = world_with(vec![first, waiting]);
     world.run(100);
-    world.submit(quick("run-3", Kind::Array, 3));
+    world.submit(quick("run-3", JobKind::Array, 3));
     assert!(world.run_until(10_000, |w| known_to_leader(w, "run-3").is_some()));
     let leader = world.leader().unwrap();
-    let guaranteed = world.engine(leader).unwrap().guaranteed();
-    let guaranteed: Vec<&str> = guaranteed.iter().map(|id| &*id.0).collect();
-    assert_eq!(guaranteed, ["run-1", "run-3"]);
+    let within_guarantee = world.engine(leader).unwrap().within_guarantee();
+    let within_guarantee: Vec<&str> = within_guarantee.iter().map(|id| &*id.0).collect();
+    assert_eq!(within_guarantee, ["run-1", "run-3"]);
 }
 
 /// Users may submit the last job of a pipeline when the others are over: nobody knows these any
@@ -76,8 +76,8 @@
 #[test]
 fn a_job_that_names_jobs_long_done_starts() {
     let mut world = world_with(vec![
-        quick("run-1", Kind::Array, 1),
-        quick("run-2", Kind::Gang, 2),
+        quick("run-1", JobKind::Array, 1),
+        quick("run-2", JobKind::Gang, 2),
     ]);
     for id in ["run-1", "run-2"] {
         ends_well(&mut world, id, 120_000);
@@ -92,7 +92,7 @@
         world.start(node);
     }
     assert!(world.run_until(20_000, |w| w.leader().is_some()));
-    world.submit(waiting_for("run-3", Kind::Array, 1, &["run-1", "run-2"]));
+    world.submit(waiting_for("run-3", JobKind::Array, 1, &["run-1", "run-2"]));
     ends_well(&mut world, "run-3", 120_000);
 }
 
@@ -101,10 +101,10 @@
 #[test]
 fn cancelling_a_waiting_job_leaves_alone_what_it_waits_for() {
     let mut world = world_with(vec![
-        quick("run-1", Kind::Array, 2),
-        waiting_for("run-2", Kind::Array, 1, &["run-1"]),
-        waiting_for("run-3", Kind::Array, 1, &["run-2"]),
-        waiting_for("run-4", Kind::Array, 1, &["run-1"]),
+        quick("run-1", JobKind::Array, 2),
+        waiting_for("run-2", JobKind::Array, 1, &["run-1"]),
+        waiting_for("run-3", JobKind::Array, 1, &["run-2"]),
+        waiting_for("run-4", JobKind::Array, 1, &["run-1"]),
     ]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 2));
     world.cancel("run-2");
@@ -121,8 +121,8 @@
 #[test]
 fn the_late_write_that_lets_a_step_start_brings_no_cancelled_job_back() {
     let mut world = world_with(vec![
-        quick("run-1", Kind::Array, 1),
-        waiting_for("run-2", Kind::Array, 1, &["run-1"]),
+        quick("run-1", JobKind::Array, 1),
+        waiting_for("run-2", JobKind::Array, 1, &["run-1"]),
     ]);
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     world.faults.late_write = Some("live/job/run-2");
--- a/src/engine/tests/stored.rs
+++ b/src/engine/tests/stored.rs
@@ -5,7 +5,7 @@
 use super::{ends_well, quick};
 use crate::engine::records::{self, RoundRecord};
 use crate::model::TaskSet;
-use crate::wire::user::{JobState, Kind};
+use crate::wire::user::{JobKind, JobState};
 use rmpv::Value;
 
 /// The number of the round that the fixtures `round`, `round1` and `round2` are records of.
@@ -48,7 +48,7 @@
 fn put_done(world: &mut World) {
     world
         .jobs
-        .insert("run-7".into(), quick("run-7", Kind::Array, 2));
+        .insert("run-7".into(), quick("run-7", JobKind::Array, 2));
     world
         .finished
         .extend(["run-7/0".to_owned(), "run-7/1".to_owned()]);
@@ -69,7 +69,7 @@
     for cancelled in [false, true] {
         let mut after = World::new(3, 8.0);
         without_nodes(&mut after, |world| {
-            world.submit(quick("run-7", Kind::Array, 2));
+            world.submit(quick("run-7", JobKind::Array, 2));
             put_job(world, stored!("waiting"));
         });
         assert!(after.run_until(60_000, |w| w.running("run-7") == 2));
@@ -114,16 +114,16 @@
     let mut world = World::new(3, 8.0);
     without_nodes(&mut world, |world| {
         put_done(world);
-        let mut aborted = quick("run-10", Kind::Array, 4);
-        aborted.awaits = vec!["run-9".into()];
+        let mut aborted = quick("run-10", JobKind::Array, 4);
+        aborted.depends_on = vec!["run-9".into()];
         world.jobs.insert("run-10".into(), aborted);
         world.put("final/run-10", stored!("final_aborted_dependant"));
         // Called off, and not yet removed by a leader.
         put_job(world, stored!("waiting_cancelled"));
         world.cancelled.insert("run-9".into(), world.now);
         for (id, awaited) in [("run-11", "run-10"), ("run-12", "run-9")] {
-            let mut after = quick(id, Kind::Array, 1);
-            after.awaits = vec![awaited.into()];
+            let mut after = quick(id, JobKind::Array, 1);
+            after.depends_on = vec![awaited.into()];
             world.submit(after);
         }
     });
@@ -207,7 +207,7 @@
 fn world_with_stored_round(became: Starts) -> World {
     let mut world = World::new(3, 400.0);
     world.run(2_000);
-    world.submit(quick("run-99", Kind::Array, GANG_TASKS));
+    world.submit(quick("run-99", JobKind::Array, GANG_TASKS));
     ends_well(&mut world, "run-99", 120_000);
     assert!(world.run_until(20_000, |w| w.keys("rounds/") == 0));
     assert_eq!(world.starts, GANG_TASKS);
--- a/src/engine/tests/world/cloud.rs
+++ b/src/engine/tests/world/cloud.rs
@@ -8,8 +8,8 @@
             return Err(CloudError::Failed("trouble".into()));
         }
         match call {
-            CloudCall::Types => Ok(CloudReply::Types(wc::MachineTypes {
-                types: vec![wc::MachineType {
+            CloudCall::ListMachineTypes => Ok(CloudReply::MachineTypes(wc::MachineTypeList {
+                machine_types: vec![wc::MachineType {
                     name: "g8".into(),
                     cpus: 16.0,
                     gpus: 4.0,
@@ -23,7 +23,7 @@
                 }],
             })),
             CloudCall::Rent(rent) => {
-                if let Some(names) = self.requests.get(&rent.request) {
+                if let Some(names) = self.requests.get(&rent.request_id) {
                     return Ok(CloudReply::Rented(names.clone()));
                 }
                 let there = self.workers.values().filter(|w| w.zone == rent.zone);
@@ -46,7 +46,7 @@
                     self.send_in(&name, BOOT);
                     names.push(name);
                 }
-                self.requests.insert(rent.request, names.clone());
+                self.requests.insert(rent.request_id, names.clone());
                 Ok(CloudReply::Rented(names))
             }
             CloudCall::Return(names) => {
@@ -56,7 +56,7 @@
                 }
                 Ok(CloudReply::Returned)
             }
-            CloudCall::List { after } => {
+            CloudCall::ListMachines { after } => {
                 let now = self.now;
                 self.listed_pages += 1;
                 let mut after = after.unwrap_or_default();
@@ -72,7 +72,9 @@
                     age_s: (now + BOOT).saturating_sub(w.up_at) as f64 / 1000.0,
                 };
                 let mut rest = self.workers.iter().filter(|(id, _)| **id > after);
-                let machines = rest.by_ref().take(k::MACHINE_PAGE as usize);
+                let machines = rest
+                    .by_ref()
+                    .take(constants::MACHINE_LIST_PAGE_ITEMS as usize);
                 let mut machines: Vec<wc::ListedMachine> = machines.map(listed).collect();
                 let mut more = rest.next().is_some();
                 match self.faults.list {
@@ -92,7 +94,10 @@
                     ListFault::Doubled => machines.extend_from_within(..),
                 }
                 machines.sort_by(|a, b| a.id.cmp(&b.id));
-                Ok(CloudReply::Listed(wc::MachineList { machines, more }))
+                Ok(CloudReply::MachinePage(wc::MachinePage {
+                    machines,
+                    has_more: more,
+                }))
             }
         }
     }
--- a/src/engine/tests/world/faults.rs
+++ b/src/engine/tests/world/faults.rs
@@ -34,7 +34,7 @@
     /// Machines that report how soon the cloud takes them back, s.
     pub notices: BTreeMap<String, f64>,
     /// Jobs whose tasks exit for this reason instead of running.
-    pub exits: BTreeMap<String, Why>,
+    pub exits: BTreeMap<String, ExitReason>,
     /// Running tasks that are stopped first save their progress, for as long as their job says.
     pub saves: bool,
     /// Tasks of gangs wait this long for each other before they run, ms.
--- a/src/engine/tests/world/mod.rs
+++ b/src/engine/tests/world/mod.rs
@@ -11,7 +11,7 @@
 
 use super::replay::{Input, Process, Recorder, Script};
 use crate::cloud::{CloudCall, CloudError, CloudReply};
-use crate::constants as k;
+use crate::constants;
 use crate::engine::records::{self, FinalRecord, JobRecord};
 use crate::engine::{Command, Effect, Engine, Reply, ReplyId};
 use crate::model::Ms;
@@ -20,8 +20,8 @@
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::cloud as wc;
 use crate::wire::store as ws;
-use crate::wire::user::{Job, JobState, Kind};
-use crate::wire::worker::{Order, Report, Task, TaskState, Why};
+use crate::wire::user::{JobKind, JobState, JobSubmission};
+use crate::wire::worker::{ExitReason, Heartbeat, Task, TaskState, WorkerCommand};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use state_service::{Store, Watch};
@@ -46,10 +46,10 @@
     Command(usize, u64, Command),
     Send(String),
     Receive(String, u64, Option<Reply>),
-    Direct(String, crate::wire::worker::DirectOrders),
+    Direct(String, crate::wire::worker::DirectCommands),
     /// A transaction whose sender gave it up.
-    Late(ws::Txn),
-    Copy(Report),
+    Late(ws::Transaction),
+    Copy(Heartbeat),
 }
 
 struct Node {
@@ -79,7 +79,7 @@
     /// Answers to what is not a report.
     answers: BTreeMap<ReplyId, Reply>,
     pub faults: Faults,
-    pub jobs: BTreeMap<String, Job>,
+    pub jobs: BTreeMap<String, JobSubmission>,
     pub cancelled: BTreeMap<String, Ms>,
     pub broken: Vec<String>,
     /// Time that the engines took: for whoever measures, no test depends on it.
@@ -91,7 +91,7 @@
     pub finished: BTreeSet<String>,
     /// Tasks that take this much longer than their job says, ms.
     pub longer: BTreeMap<String, Ms>,
-    reports: u64,
+    heartbeats: u64,
     /// Pages of the cloud's lists so far.
     pub listed_pages: u64,
     /// Where each task was started.
@@ -145,14 +145,14 @@
 fn kind_of(command: Option<&Command>) -> &'static str {
     match command {
         None => "the time alone",
-        Some(Command::Report { .. }) => "a report",
-        Some(Command::StoreDone { result, .. }) => match result {
-            Ok(StoreReply::Listed(_)) => "a page of records",
-            Ok(StoreReply::Changed(_)) => "changes",
+        Some(Command::Heartbeat { .. }) => "a report",
+        Some(Command::StoreCallCompleted { result, .. }) => match result {
+            Ok(StoreReply::Listing(_)) => "a page of records",
+            Ok(StoreReply::Changes(_)) => "changes",
             Ok(StoreReply::Committed { .. }) => "a transaction's answer",
             _ => "another answer of the state service",
         },
-        Some(Command::CloudDone { .. }) => "an answer of the cloud",
+        Some(Command::CloudCallCompleted { .. }) => "an answer of the cloud",
         Some(_) => "anything else",
     }
 }
@@ -184,7 +184,7 @@
             starts: 0,
             finished: BTreeSet::new(),
             longer: BTreeMap::new(),
-            reports: 0,
+            heartbeats: 0,
             listed_pages: 0,
             places: BTreeMap::new(),
             begun: BTreeSet::new(),
@@ -295,7 +295,7 @@
     }
 
     /// Any node's acceptance of a job.
-    pub fn submit(&mut self, job: Job) {
+    pub fn submit(&mut self, job: JobSubmission) {
         let record = JobRecord::new(job.clone(), self.now);
         self.put(&records::job_key(&job.id), records::job_value(&record));
         self.jobs.insert(job.id.clone(), job);
@@ -320,7 +320,7 @@
         let reply = self.ask_step(node, id);
         self.run_until(1_500, |w| w.answers.contains_key(&reply));
         match self.answer(reply) {
-            Some(Reply::Step(state)) => state,
+            Some(Reply::BlockedJobState(state)) => state,
             _ => None,
         }
     }
@@ -329,7 +329,7 @@
     pub fn ask_counts(&mut self, node: usize, id: &str) {
         self.order += 1;
         let (job, reply) = (id.into(), self.order);
-        let command = Command::Count { job, reply };
+        let command = Command::CountTasks { job, reply };
         self.step(node, self.nodes[node].epoch, Some(command));
     }
 
@@ -338,7 +338,7 @@
         self.order += 1;
         let reply = self.order;
         let job = id.into();
-        let command = Command::Step { job, reply };
+        let command = Command::QueryBlockedJob { job, reply };
         self.step(node, self.nodes[node].epoch, Some(command));
         reply
     }
@@ -359,33 +359,33 @@
         self.order += 1;
         let reply = self.order;
         let jobs = ids.iter().map(|id| (*id).into()).collect();
-        let command = Command::Named { jobs, reply };
+        let command = Command::FindUnknownJobs { jobs, reply };
         self.step(node, self.nodes[node].epoch, Some(command));
         match self.answers.remove(&reply) {
-            Some(Reply::NotKnown(jobs)) => jobs.iter().map(ToString::to_string).collect(),
+            Some(Reply::UnknownJobs(jobs)) => jobs.iter().map(ToString::to_string).collect(),
             other => panic!("{other:?}"),
         }
     }
 
     /// The node that confirmed a cancellation tells another one.
     pub fn tell_of_cancellation(&mut self, node: usize, id: &str) {
-        let command = Command::Cancelled(id.into());
+        let command = Command::JobCancelled(id.into());
         self.step(node, self.nodes[node].epoch, Some(command));
     }
 
     /// Removes a record as somebody else does.
     pub fn remove(&mut self, key: &str) {
-        self.write(&ws::Txn::default().delete(key));
+        self.write(&ws::Transaction::default().delete(key));
     }
 
     /// A transaction of somebody else.
-    pub fn write(&mut self, txn: &ws::Txn) {
+    pub fn write(&mut self, txn: &ws::Transaction) {
         self.commit(txn).unwrap();
     }
 
     /// Puts a record there that somebody else wrote.
     pub fn put(&mut self, key: &str, value: rmpv::Value) {
-        self.write(&ws::Txn::default().put(key, value));
+        self.write(&ws::Transaction::default().put(key, value));
     }
 
     pub fn state(&self, id: &str) -> Option<JobState> {
@@ -431,7 +431,7 @@
     }
 
     /// Every worker reports within this time from now.
-    pub fn report_within(&mut self, ms: Ms) {
+    pub fn heartbeat_within(&mut self, ms: Ms) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         for (n, name) in (0..).zip(names) {
             self.send_in(&name, n % ms);
@@ -454,8 +454,8 @@
     }
 
     /// What a machine has reported so far.
-    pub fn reports(&self, machine: &str) -> Vec<Report> {
-        self.workers[machine].reports.clone()
+    pub fn heartbeats(&self, machine: &str) -> Vec<Heartbeat> {
+        self.workers[machine].heartbeats.clone()
     }
 
     /// Jobs of which something neither runs nor has ended.
@@ -476,12 +476,12 @@
     }
 
     /// Late copies of reports, newest first, at every node that is up; their answers are lost.
-    pub fn repeat_reports(&mut self, reports: &[Report]) {
+    pub fn repeat_heartbeats(&mut self, heartbeats: &[Heartbeat]) {
         for node in 0..self.nodes.len() {
-            for report in reports.iter().rev().cloned() {
+            for heartbeat in heartbeats.iter().rev().cloned() {
                 self.order += 1;
                 let reply = self.order;
-                let command = Command::Report { report, reply };
+                let command = Command::Heartbeat { heartbeat, reply };
                 self.step(node, self.nodes[node].epoch, Some(command));
             }
         }
@@ -490,7 +490,7 @@
     /// The worker loses its tasks and goes on with a new session at once.
     pub fn restart_worker(&mut self, machine: &str) {
         let w = self.workers.get_mut(machine).unwrap();
-        w.session += 1;
+        w.incarnation += 1;
         w.answered = self.now;
         w.tasks.clear();
         w.next = 0;
@@ -507,9 +507,9 @@
             attempt: 1,
             since: self.now,
             state: TaskState::Running,
-            why: None,
+            exit_reason: None,
             stop: false,
-            saved: None,
+            checkpoint_saved: None,
         };
         let w = self.workers.get_mut(machine).unwrap();
         w.tasks.insert(task.into(), planted);
@@ -522,9 +522,9 @@
             let tasks: Vec<String> = w
                 .tasks
                 .iter()
-                .map(|(id, t)| format!("{id} try {} {:?} {:?}", t.attempt, t.state, t.why))
+                .map(|(id, t)| format!("{id} try {} {:?} {:?}", t.attempt, t.state, t.exit_reason))
                 .collect();
-            let (zone, node, token, session) = (&w.zone, w.node, w.token, w.session);
+            let (zone, node, token, session) = (&w.zone, w.node, w.fencing_token, w.incarnation);
             format!("{name} {zone} at n{node} token {token} session {session}: {tasks:?}")
         };
         let lines: Vec<String> = self.workers.iter().map(line).collect();
@@ -583,15 +583,15 @@
                         let said = Announcement {
                             node: format!("n{from}"),
                             term: view.term,
-                            store_ok: view.store_ok,
+                            store_reachable: view.store_reachable,
                         };
                         let epoch = self.nodes[to].epoch;
-                        self.deliver(Ev::Command(to, epoch, Command::Announced(said)));
+                        self.deliver(Ev::Command(to, epoch, Command::PeerAnnounced(said)));
                     }
                 }
                 self.at(1000, Ev::Announce(from));
             }
-            Ev::Store(node, epoch, op, call) => self.serve_store(node, epoch, op, &call),
+            Ev::Store(node, epoch, call_id, call) => self.serve_store(node, epoch, call_id, &call),
             Ev::Watch(watch) => {
                 self.store.watches.push(watch);
                 self.serve_watches();
@@ -605,10 +605,10 @@
             }
             Ev::Send(name) => {
                 if self.workers.get(&name).is_some_and(|w| w.due == self.now) {
-                    self.send_report(&name);
+                    self.send_heartbeat(&name);
                 }
             }
-            Ev::Receive(name, seq, reply) => self.receive(&name, seq, reply),
+            Ev::Receive(name, sequence, reply) => self.receive(&name, sequence, reply),
             Ev::Direct(name, direct) => {
                 let deaf = self.faults.deaf.contains(&name) || self.faults.cut.contains(&name);
                 if deaf || self.faults.lose_direct {
@@ -621,24 +621,24 @@
                 let Some(w) = self.workers.get_mut(&name) else {
                     return;
                 };
-                if direct.token >= w.token && direct.session == w.session {
-                    let rises = direct.token > w.token;
-                    w.token = direct.token;
-                    w.seq += 1;
+                if direct.fencing_token >= w.fencing_token && direct.incarnation == w.incarnation {
+                    let rises = direct.fencing_token > w.fencing_token;
+                    w.fencing_token = direct.fencing_token;
+                    w.sequence += 1;
                     // A higher token is reported at once, but not within half a second of the
                     // last report, and not twice in half a lease.
                     if rises && w.rings(self.now) && !w.busy {
                         let delay = (w.sent + 500).saturating_sub(self.now);
                         self.send_in(&name, delay);
                     }
-                    self.execute(&name, &direct.orders);
+                    self.execute(&name, &direct.commands);
                 }
             }
             Ev::Late(txn) => {
                 // Its condition may well fail by now.
                 let _ = self.commit(&txn);
             }
-            Ev::Copy(report) => self.repeat_reports(&[report]),
+            Ev::Copy(heartbeat) => self.repeat_heartbeats(&[heartbeat]),
         }
     }
 
@@ -679,7 +679,7 @@
         *longest = took.max(*longest);
         // Of a large fleet, not at each step.
         if self.workers.len() < 100 || self.order.is_multiple_of(200) {
-            assert!(engine.slots_agree(), "a machine's room is out of date");
+            assert!(engine.snapshots_agree(), "a machine's room is out of date");
         }
         for effect in effects {
             self.effect(node, epoch, effect);
@@ -689,15 +689,15 @@
     fn effect(&mut self, node: usize, epoch: u64, effect: Effect) {
         match effect {
             Effect::Reply { to, reply } => {
-                let Some((worker, seq)) = self.replies.remove(&to) else {
+                let Some((worker, sequence)) = self.replies.remove(&to) else {
                     self.answers.insert(to, reply);
                     return;
                 };
                 if self.reaches(&worker, node) {
-                    self.deliver(Ev::Receive(worker, seq, Some(reply)));
+                    self.deliver(Ev::Receive(worker, sequence, Some(reply)));
                 }
             }
-            Effect::Store { op, call, .. } => {
+            Effect::CallStore { call_id, call, .. } => {
                 if let StoreCall::Watch {
                     prefix,
                     after,
@@ -708,7 +708,7 @@
                     let watch = Watch {
                         node,
                         epoch,
-                        op,
+                        call_id,
                         prefix,
                         after,
                         until: self.now + link + wait_ms,
@@ -721,24 +721,24 @@
                 let slow = self.faults.slow_calls.get(&node).copied().unwrap_or(0);
                 let link = self.link() - LATENCY;
                 match self.faults.store_delay + slow + link {
-                    0 => self.serve_store(node, epoch, op, &call),
-                    delay => self.at(delay, Ev::Store(node, epoch, op, call)),
+                    0 => self.serve_store(node, epoch, call_id, &call),
+                    delay => self.at(delay, Ev::Store(node, epoch, call_id, call)),
                 }
             }
-            Effect::Cloud { op, call } => {
+            Effect::CallCloud { call_id, call } => {
                 let slow = match call {
-                    CloudCall::List { .. } => self.faults.slow_list,
+                    CloudCall::ListMachines { .. } => self.faults.slow_list,
                     _ => 0,
                 };
                 let slow = slow + self.link() - LATENCY;
                 let result = self.cloud_call(call);
-                let command = Command::CloudDone { op, result };
+                let command = Command::CloudCallCompleted { call_id, result };
                 self.at(CLOUD_LATENCY + slow, Ev::Command(node, epoch, command));
             }
-            Effect::Orders { addr, orders } => {
-                let name = format!("host-{:06}", addr.port());
+            Effect::SendCommands { address, commands } => {
+                let name = format!("host-{:06}", address.port());
                 if self.connects(&name, node) {
-                    self.deliver(Ev::Direct(name, orders));
+                    self.deliver(Ev::Direct(name, commands));
                 }
             }
         }
--- a/src/engine/tests/world/state_service.rs
+++ b/src/engine/tests/world/state_service.rs
@@ -7,7 +7,7 @@
     pub(super) keys: BTreeMap<String, (rmpv::Value, u64, Option<u64>)>,
     pub(super) revision: u64,
     pub(super) leases: BTreeMap<u64, (u64, Ms)>,
-    pub(super) log: Vec<(u64, ws::Event)>,
+    pub(super) log: Vec<(u64, ws::WatchEvent)>,
     /// Keys under a lease.
     pub(super) leased: BTreeSet<String>,
     pub(super) watches: Vec<Watch>,
@@ -17,20 +17,20 @@
 pub(super) struct Watch {
     pub(super) node: usize,
     pub(super) epoch: u64,
-    pub(super) op: u64,
+    pub(super) call_id: u64,
     pub(super) prefix: String,
     pub(super) after: u64,
     pub(super) until: Ms,
 }
 
 impl World {
-    pub(super) fn serve_store(&mut self, node: usize, epoch: u64, op: u64, call: &StoreCall) {
+    pub(super) fn serve_store(&mut self, node: usize, epoch: u64, call_id: u64, call: &StoreCall) {
         let refused = self.faults.store_down || self.faults.store_refuses.contains(&node);
         let records = |prefix: &str| prefix == records::WORK || prefix == records::ROUNDS;
         let unlisted = matches!(call, StoreCall::List { prefix, .. } if records(prefix));
         let refused = refused || (unlisted && self.faults.no_records);
         if let StoreCall::Commit(txn) = call {
-            let fenced = txn.conditions.iter().any(|c| c.key == records::LEAD);
+            let fenced = txn.comparisons.iter().any(|c| c.key == records::LEAD);
             assert!(fenced, "no condition on the leader's key: {txn:?}");
         }
         if let StoreCall::Commit(txn) = call
@@ -40,16 +40,16 @@
             self.store.commits += 1;
             self.at(late, Ev::Late(txn.clone()));
             let result = Err(StoreError::Unknown("no answer".into()));
-            let patience = k::STORE_TIMEOUT.as_millis() as Ms;
-            let command = Command::StoreDone { op, result };
+            let patience = constants::STORE_TIMEOUT.as_millis() as Ms;
+            let command = Command::StoreCallCompleted { call_id, result };
             return self.at(patience, Ev::Command(node, epoch, command));
         }
         let result = if refused {
-            Err(StoreError::Refused("503".into()))
+            Err(StoreError::NotExecuted("503".into()))
         } else {
             self.store_call(call)
         };
-        let command = Command::StoreDone { op, result };
+        let command = Command::StoreCallCompleted { call_id, result };
         let slow = self.faults.slow_answers.get(&node).copied().unwrap_or(0);
         let delay = self.link() + slow;
         self.at(delay, Ev::Command(node, epoch, command));
@@ -57,11 +57,11 @@
     }
 
     /// By how much the transaction is late, if it gets no answer.
-    pub(super) fn lateness(&mut self, txn: &ws::Txn) -> Option<Ms> {
+    pub(super) fn lateness(&mut self, txn: &ws::Transaction) -> Option<Ms> {
         let begins = |key: &str| {
-            let written = txn.writes.iter().map(|write| match write {
-                ws::Write::Put { put, .. } => put,
-                ws::Write::Delete { delete } => delete,
+            let written = txn.mutations.iter().map(|write| match write {
+                ws::Mutation::Put { key, .. } => key,
+                ws::Mutation::Delete { key } => key,
             });
             written.into_iter().any(|k| k.starts_with(key))
         };
@@ -78,7 +78,7 @@
 
     pub(super) fn store_call(&mut self, call: &StoreCall) -> Result<StoreReply, StoreError> {
         match call {
-            StoreCall::Get { key } => Ok(StoreReply::Got(self.store.keys.get(key).map(
+            StoreCall::Get { key } => Ok(StoreReply::Item(self.store.keys.get(key).map(
                 |(value, version, _)| ws::Item {
                     key: key.clone(),
                     value: value.clone(),
@@ -103,9 +103,9 @@
                     })
                     .collect();
                 let more = keys.next().is_some();
-                Ok(StoreReply::Listed(ws::Listing {
+                Ok(StoreReply::Listing(ws::Listing {
                     items,
-                    more,
+                    has_more: more,
                     revision: self.store.revision,
                 }))
             }
@@ -117,14 +117,14 @@
                 }
                 result
             }
-            StoreCall::Hold { ttl_ms } => {
+            StoreCall::GrantLease { ttl_ms } => {
                 let lease = self.store.leases.len() as u64 + 1;
                 self.store
                     .leases
                     .insert(lease, (*ttl_ms, self.now + ttl_ms));
-                Ok(StoreReply::Held { lease })
+                Ok(StoreReply::LeaseGranted { lease })
             }
-            StoreCall::Touch { lease } => {
+            StoreCall::KeepAlive { lease } => {
                 let now = self.now;
                 match self
                     .store
@@ -134,47 +134,47 @@
                 {
                     Some((ttl, until)) => {
                         *until = now + *ttl;
-                        Ok(StoreReply::Ok)
+                        Ok(StoreReply::LeaseUpdated)
                     }
                     None => Err(StoreError::NoLease),
                 }
             }
-            StoreCall::Drop { lease } => {
+            StoreCall::RevokeLease { lease } => {
                 if let Some((_, until)) = self.store.leases.get_mut(lease) {
                     *until = 0;
                 }
                 self.expire();
-                Ok(StoreReply::Ok)
+                Ok(StoreReply::LeaseUpdated)
             }
             StoreCall::Watch { .. } => unreachable!("kept apart"),
         }
     }
 
-    pub(super) fn commit(&mut self, txn: &ws::Txn) -> Result<StoreReply, StoreError> {
+    pub(super) fn commit(&mut self, txn: &ws::Transaction) -> Result<StoreReply, StoreError> {
         let ops = self.txn_ops;
         assert!(
-            txn.writes.len() <= ops && txn.conditions.len() <= 4 * ops,
+            txn.mutations.len() <= ops && txn.comparisons.len() <= 4 * ops,
             "over the limits: {txn:?}"
         );
         let now = self.now;
         let size = crate::wire::encode(txn).len();
         assert!(size < 64 * 1024, "a transaction of {size} bytes");
-        for write in &txn.writes {
-            if let ws::Write::Put { put, value, .. } = write {
+        for write in &txn.mutations {
+            if let ws::Mutation::Put { key, value, .. } = write {
                 let size = records::json_size(value);
-                assert!(size <= self.value_max, "{put} takes {size} bytes");
+                assert!(size <= self.value_max, "{key} takes {size} bytes");
             }
             let over = |lease: &u64| {
                 let lease = self.store.leases.get(lease);
                 lease.is_none_or(|(_, until)| *until <= now)
             };
-            if matches!(write, ws::Write::Put { lease: Some(lease), .. } if over(lease)) {
-                return Err(StoreError::Bad("no such lease".into()));
+            if matches!(write, ws::Mutation::Put { lease: Some(lease), .. } if over(lease)) {
+                return Err(StoreError::Malformed("no such lease".into()));
             }
         }
         let version = |key: &str| self.store.keys.get(key).map_or(0, |(_, v, _)| *v);
         let failed: Vec<String> = txn
-            .conditions
+            .comparisons
             .iter()
             .filter(|c| version(&c.key) != c.version)
             .map(|c| c.key.clone())
@@ -185,24 +185,24 @@
         self.check_writes(txn);
         self.store.revision += 1;
         let revision = self.store.revision;
-        for write in &txn.writes {
+        for write in &txn.mutations {
             match write {
-                ws::Write::Put { put, value, lease } => {
+                ws::Mutation::Put { key, value, lease } => {
                     self.store
                         .keys
-                        .insert(put.clone(), (value.clone(), revision, *lease));
+                        .insert(key.clone(), (value.clone(), revision, *lease));
                     match lease {
-                        Some(_) => self.store.leased.insert(put.clone()),
-                        None => self.store.leased.remove(put),
+                        Some(_) => self.store.leased.insert(key.clone()),
+                        None => self.store.leased.remove(key),
                     };
-                    let event = ws::Event::Put {
-                        put: put.clone(),
+                    let event = ws::WatchEvent::Put {
+                        key: key.clone(),
                         value: value.clone(),
                         version: revision,
                     };
                     self.store.log.push((revision, event));
                 }
-                ws::Write::Delete { delete } => self.delete(delete, revision),
+                ws::Mutation::Delete { key } => self.delete(key, revision),
             }
         }
         self.serve_watches();
@@ -211,12 +211,12 @@
 
     /// A job is called done after its tasks are, and nothing else after that; no round is written
     /// with a job whose cancellation is durable.
-    pub(super) fn check_writes(&mut self, txn: &ws::Txn) {
-        for write in &txn.writes {
-            let ws::Write::Put { put, value, .. } = write else {
+    pub(super) fn check_writes(&mut self, txn: &ws::Transaction) {
+        for write in &txn.mutations {
+            let ws::Mutation::Put { key, value, .. } = write else {
                 continue;
             };
-            let round = put.starts_with(records::ROUNDS);
+            let round = key.starts_with(records::ROUNDS);
             let round = round.then(|| records::read::<records::RoundRecord>(value.clone()));
             for (id, ..) in round.flatten().into_iter().flat_map(|round| round.starts) {
                 if self.cancelled.contains_key(&id) {
@@ -225,7 +225,7 @@
                         .push(format!("{now}: a round with cancelled {id}"));
                 }
             }
-            let Some(id) = put.strip_prefix("final/") else {
+            let Some(id) = key.strip_prefix("final/") else {
                 continue;
             };
             let state = records::read_final(value.clone()).map(|f| f.state);
@@ -238,7 +238,7 @@
             let ended = self.finished.iter().filter(|t| t.starts_with(&of)).count() as u64;
             let job = &self.jobs[id];
             let enough = match job.kind {
-                Kind::Gang => 1,
+                JobKind::Gang => 1,
                 _ => job.tasks,
             };
             if state == Some(JobState::Done) && ended < enough {
@@ -250,8 +250,8 @@
     pub(super) fn delete(&mut self, key: &str, version: u64) {
         self.store.leased.remove(key);
         if self.store.keys.remove(key).is_some() {
-            let event = ws::Event::Delete {
-                delete: key.into(),
+            let event = ws::WatchEvent::Delete {
+                key: key.into(),
                 version,
             };
             self.store.log.push((version, event));
@@ -291,26 +291,29 @@
         let mut rest = Vec::new();
         for w in std::mem::take(&mut self.store.watches) {
             let log = &self.store.log;
-            let events: Vec<ws::Event> = log[log.partition_point(|(at, _)| *at <= w.after)..]
+            let events: Vec<ws::WatchEvent> = log[log.partition_point(|(at, _)| *at <= w.after)..]
                 .iter()
                 .filter(|(_, event)| {
-                    let (ws::Event::Put { put: key, .. } | ws::Event::Delete { delete: key, .. }) =
+                    let (ws::WatchEvent::Put { key, .. } | ws::WatchEvent::Delete { key, .. }) =
                         event;
                     key.starts_with(&w.prefix)
                 })
                 .map(|(_, event)| event.clone())
                 .collect();
             let waits = down || self.faults.store_refuses.contains(&w.node);
-            let result = if now >= w.until + k::WATCH_SLACK.as_millis() as Ms {
+            let result = if now >= w.until + constants::WATCH_SLACK.as_millis() as Ms {
                 // The caller has given up.
                 Err(StoreError::Unknown("no answer".into()))
             } else if waits || (events.is_empty() && now < w.until) {
                 rest.push(w);
                 continue;
             } else {
-                Ok(StoreReply::Changed(ws::Changes { revision, events }))
+                Ok(StoreReply::Changes(ws::Changes { revision, events }))
+            };
+            let command = Command::StoreCallCompleted {
+                call_id: w.call_id,
+                result,
             };
-            let command = Command::StoreDone { op: w.op, result };
             let slow = self.faults.slow_watch.get(&w.node).copied().unwrap_or(0);
             let delay = self.link() + slow;
             self.at(delay, Ev::Command(w.node, w.epoch, command));
--- a/src/engine/tests/world/workers.rs
+++ b/src/engine/tests/world/workers.rs
@@ -7,19 +7,19 @@
     pub attempt: u64,
     pub since: Ms,
     pub state: TaskState,
-    pub(super) why: Option<Why>,
+    pub(super) exit_reason: Option<ExitReason>,
     pub(super) stop: bool,
     /// Whether progress was saved at the end.
-    pub(super) saved: Option<bool>,
+    pub(super) checkpoint_saved: Option<bool>,
 }
 
 pub struct Worker {
     pub(super) zone: String,
     pub node: usize,
     pub(super) up_at: Ms,
-    pub(super) session: u64,
-    pub(super) seq: u64,
-    pub(super) token: u64,
+    pub(super) incarnation: u64,
+    pub(super) sequence: u64,
+    pub(super) fencing_token: u64,
     pub(super) sent: Ms,
     /// When its next report is due.
     pub(super) due: Ms,
@@ -32,7 +32,7 @@
     /// Nothing changes on it by itself before.
     pub(super) next: Ms,
     /// Reports as sent, for late copies.
-    pub(super) reports: Vec<Report>,
+    pub(super) heartbeats: Vec<Heartbeat>,
 }
 
 impl World {
@@ -44,7 +44,7 @@
         }
     }
 
-    pub(super) fn send_report(&mut self, name: &str) {
+    pub(super) fn send_heartbeat(&mut self, name: &str) {
         let (now, hung) = (self.now, self.faults.hung.contains(name));
         let Some(w) = self.workers.get_mut(name) else {
             return;
@@ -52,19 +52,19 @@
         if hung || w.busy {
             return self.send_in(name, 500);
         }
-        w.seq += 1;
+        w.sequence += 1;
         w.busy = true;
         w.sent = now;
-        let report = Report {
+        let heartbeat = Heartbeat {
             machine: name.into(),
-            addr: format!("127.0.0.1:{}", name[5..].parse::<u16>().unwrap()),
+            address: format!("127.0.0.1:{}", name[5..].parse::<u16>().unwrap()),
             machine_type: "g8".into(),
             zone: w.zone.clone(),
             spot: false,
-            session: w.session,
-            seq: w.seq,
-            token: w.token,
-            notice_s: self.faults.notices.get(name).copied(),
+            incarnation: w.incarnation,
+            sequence: w.sequence,
+            fencing_token: w.fencing_token,
+            preemption_notice_s: self.faults.notices.get(name).copied(),
             tasks: w
                 .tasks
                 .iter()
@@ -72,57 +72,57 @@
                     task: task.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    why: t.why,
-                    saved: t.saved,
+                    exit_reason: t.exit_reason,
+                    checkpoint_saved: t.checkpoint_saved,
                 })
                 .collect(),
         };
-        w.reports.push(report.clone());
-        let (node, seq) = (w.node, w.seq);
-        self.reports += 1;
-        if self.reports.is_multiple_of(self.faults.copy_every) {
-            let late = 2_000 + self.reports * 3_700 % 36_000;
-            self.at(late, Ev::Copy(report.clone()));
+        w.heartbeats.push(heartbeat.clone());
+        let (node, sequence) = (w.node, w.sequence);
+        self.heartbeats += 1;
+        if self.heartbeats.is_multiple_of(self.faults.copy_every) {
+            let late = 2_000 + self.heartbeats * 3_700 % 36_000;
+            self.at(late, Ev::Copy(heartbeat.clone()));
         }
         let epoch = self.nodes[node].epoch;
-        self.at(WORKER_TIMEOUT, Ev::Receive(name.into(), seq, None));
+        self.at(WORKER_TIMEOUT, Ev::Receive(name.into(), sequence, None));
         if self.reaches(name, node) && self.nodes[node].engine.is_some() {
             self.order += 1;
             let reply = self.order;
-            self.replies.insert(reply, (name.into(), seq));
-            let command = Command::Report { report, reply };
+            self.replies.insert(reply, (name.into(), sequence));
+            let command = Command::Heartbeat { heartbeat, reply };
             self.deliver(Ev::Command(node, epoch, command));
         }
     }
 
-    pub(super) fn receive(&mut self, name: &str, seq: u64, reply: Option<Reply>) {
+    pub(super) fn receive(&mut self, name: &str, sequence: u64, reply: Option<Reply>) {
         let (now, nodes) = (self.now, self.nodes.len());
         if reply.is_some() && (self.faults.hung.contains(name) || self.faults.deaf.contains(name)) {
             return;
         }
         // Its own patience counts on once it goes on.
         if self.faults.hung.contains(name) && self.workers.contains_key(name) {
-            return self.at(500, Ev::Receive(name.into(), seq, None));
+            return self.at(500, Ev::Receive(name.into(), sequence, None));
         }
         let Some(w) = self.workers.get_mut(name) else {
             return;
         };
         // An answer counts only for the report in flight.
-        if !w.busy || w.seq < seq || (reply.is_none() && w.sent + WORKER_TIMEOUT > now) {
+        if !w.busy || w.sequence < sequence || (reply.is_none() && w.sent + WORKER_TIMEOUT > now) {
             return;
         }
         w.busy = false;
         let mut next = 3000;
         match reply {
-            Some(Reply::Orders(orders)) => {
-                if orders.token >= w.token {
+            Some(Reply::HeartbeatAccepted(commands)) => {
+                if commands.fencing_token >= w.fencing_token {
                     let before = w.tasks.len();
-                    if orders.token > w.token && w.rings(now) {
+                    if commands.fencing_token > w.fencing_token && w.rings(now) {
                         next = 500;
                     }
-                    w.token = orders.token;
+                    w.fencing_token = commands.fencing_token;
                     w.answered = w.sent;
-                    self.execute(name, &orders.orders);
+                    self.execute(name, &commands.commands);
                     if self
                         .workers
                         .get(name)
@@ -132,7 +132,7 @@
                     }
                 }
             }
-            Some(Reply::Elsewhere(Some(to))) => {
+            Some(Reply::RedirectToLeader(Some(to))) => {
                 w.node = to[1..].parse().unwrap();
                 next = 100;
             }
@@ -144,11 +144,11 @@
         self.send_in(name, next);
     }
 
-    pub(super) fn execute(&mut self, name: &str, orders: &[Order]) {
-        for order in orders {
+    pub(super) fn execute(&mut self, name: &str, commands: &[WorkerCommand]) {
+        for order in commands {
             match order {
-                Order::Start { task, attempt } => self.launch(name, task, *attempt),
-                Order::Stop { task, attempt, .. } => {
+                WorkerCommand::Start { task, attempt } => self.launch(name, task, *attempt),
+                WorkerCommand::Stop { task, attempt, .. } => {
                     let Some(w) = self.workers.get_mut(name) else {
                         return;
                     };
@@ -157,7 +157,7 @@
                         w.next = 0;
                     }
                 }
-                Order::Forget { task, attempt } => {
+                WorkerCommand::Forget { task, attempt } => {
                     let Some(w) = self.workers.get_mut(name) else {
                         return;
                     };
@@ -185,9 +185,9 @@
             attempt,
             since: now,
             state: TaskState::Fetching,
-            why: None,
+            exit_reason: None,
             stop: false,
-            saved: None,
+            checkpoint_saved: None,
         };
         w.tasks.insert(task.into(), fresh);
         self.starts += 1;
@@ -203,7 +203,7 @@
         if workers.filter(on).count() > 1 {
             self.broken.push(format!("{now}: ran_twice {task}"));
         }
-        for awaited in &self.jobs[id].awaits {
+        for awaited in &self.jobs[id].depends_on {
             if !self.done(awaited) {
                 self.broken
                     .push(format!("{now}: too_early {task} before {awaited}"));
@@ -245,7 +245,7 @@
             }
             w.next = w.answered.max(w.up_at) + WORKER_LEASE + 1;
             if now >= w.up_at && now.saturating_sub(w.answered.max(w.up_at)) > WORKER_LEASE {
-                w.session += 1;
+                w.incarnation += 1;
                 w.answered = now;
                 w.tasks.clear();
             }
@@ -256,25 +256,25 @@
                 let job = &self.jobs[id];
                 let fetched = w.images.contains(&job.image) || now >= t.since + FETCH;
                 let longer = self.longer.get(task).copied().unwrap_or(0);
-                let run = (job.estimate_s * 1000.0) as Ms + longer;
-                let save = (job.save_s * 1000.0) as Ms;
+                let run = (job.expected_duration_s * 1000.0) as Ms + longer;
+                let save = (job.checkpoint_cost_s * 1000.0) as Ms;
                 let exit = |t: &mut OnMachine, why| {
                     t.state = TaskState::Exited;
-                    t.why = Some(why);
+                    t.exit_reason = Some(why);
                 };
                 if t.state == TaskState::Exited {
                     continue;
                 } else if t.stop && saves && t.state == TaskState::Running {
-                    t.state = TaskState::Saving;
+                    t.state = TaskState::Checkpointing;
                     t.since = now;
-                } else if t.stop && t.state == TaskState::Saving {
+                } else if t.stop && t.state == TaskState::Checkpointing {
                     if now >= t.since + save {
-                        exit(t, Why::Stopped);
-                        t.saved = Some(true);
+                        exit(t, ExitReason::Stopped);
+                        t.checkpoint_saved = Some(true);
                     }
                 } else if t.stop {
-                    exit(t, Why::Stopped);
-                } else if t.state == TaskState::Waiting {
+                    exit(t, ExitReason::Stopped);
+                } else if t.state == TaskState::WaitingForGang {
                     if now >= t.since + gathers {
                         t.state = TaskState::Running;
                         t.since = now;
@@ -284,20 +284,20 @@
                     t.state = TaskState::Running;
                     t.since = now;
                     if sick || self.faults.faulty.contains(id) {
-                        exit(t, Why::Error);
+                        exit(t, ExitReason::Failed);
                     } else if let Some(why) = self.faults.exits.get(id) {
                         exit(t, *why);
-                    } else if job.kind == Kind::Gang && gathers > 0 {
-                        t.state = TaskState::Waiting;
+                    } else if job.kind == JobKind::Gang && gathers > 0 {
+                        t.state = TaskState::WaitingForGang;
                     }
                 } else if t.state == TaskState::Running && run > 0 && now >= t.since + run {
-                    exit(t, Why::Done);
+                    exit(t, ExitReason::Completed);
                     self.finished.insert(task.clone());
                 }
                 match t.state {
                     TaskState::Fetching => w.next = w.next.min(t.since + FETCH),
-                    TaskState::Waiting => w.next = w.next.min(t.since + gathers),
-                    TaskState::Saving => w.next = w.next.min(t.since + save),
+                    TaskState::WaitingForGang => w.next = w.next.min(t.since + gathers),
+                    TaskState::Checkpointing => w.next = w.next.min(t.since + save),
                     TaskState::Running if run > 0 => w.next = w.next.min(t.since + run),
                     _ => {}
                 }
@@ -328,9 +328,9 @@
             zone: zone.into(),
             node,
             up_at,
-            session: 1,
-            seq: 0,
-            token: 0,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             sent: 0,
             due: 0,
             rung: None,
@@ -339,7 +339,7 @@
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             next: 0,
-            reports: Vec::new(),
+            heartbeats: Vec::new(),
         }
     }
 }
--- a/src/engine/watching.rs
+++ b/src/engine/watching.rs
@@ -1,11 +1,11 @@
 //! Following the records under `live/`: who leads, and which jobs there are.
 
 use super::records::{self, JOBS, LEAD, LIVE, LeadRecord};
-use super::{Engine, Holder, Op};
-use crate::constants as k;
-use crate::model::{JobId, Ms, Phase};
+use super::{Engine, ObservedLeader, PendingCall};
+use crate::constants;
+use crate::model::{JobId, JobPhase, Ms};
 use crate::store::{StoreCall, StoreError, StoreReply};
-use crate::wire::store::{Changes, Event};
+use crate::wire::store::{Changes, WatchEvent};
 use crate::wire::user::JobState;
 use rmpv::Value;
 
@@ -17,9 +17,9 @@
         self.watch.busy = true;
         match self.revision {
             Some(after) => {
-                // Without fresh news what counts is the first answer, changes or none.
-                let wait_ms = match self.store_ok() {
-                    true => k::WATCH_MS,
+                // Without fresh news what counts is the first_revision answer, changes or none.
+                let wait_ms = match self.store_reachable() {
+                    true => constants::WATCH_TIMEOUT_MS,
                     false => 0,
                 };
                 let call = StoreCall::Watch {
@@ -27,7 +27,7 @@
                     after,
                     wait_ms,
                 };
-                self.store(Op::Watch { sent: self.now }, call);
+                self.call_store(PendingCall::WatchLiveRecords { sent_at: self.now }, call);
             }
             None => {
                 self.listed.clear();
@@ -36,26 +36,26 @@
         }
     }
 
-    fn list_live(&mut self, first: Option<u64>, after: Option<String>) {
+    fn list_live(&mut self, first_revision: Option<u64>, after: Option<String>) {
         let call = StoreCall::List {
             prefix: LIVE.into(),
             after,
         };
-        self.store(Op::ListLive { first }, call);
+        self.call_store(PendingCall::ListLiveRecords { first_revision }, call);
     }
 
     pub(super) fn on_listed_live(
         &mut self,
-        first: Option<u64>,
+        first_revision: Option<u64>,
         result: Result<StoreReply, StoreError>,
     ) {
-        let Ok(StoreReply::Listed(page)) = result else {
+        let Ok(StoreReply::Listing(page)) = result else {
             self.watch.failed(self.now, &mut self.rng);
             return;
         };
-        // Later pages may be newer: the watch starts at the first page's revision and goes
+        // Later pages may be newer: the watch starts at the first_revision page's revision and goes
         // over what changed since again.
-        let first = first.unwrap_or(page.revision);
+        let first_revision = first_revision.unwrap_or(page.revision);
         let last = page.items.last().map(|item| item.key.clone());
         let mut led = false;
         for item in page.items {
@@ -66,12 +66,12 @@
             self.on_put(&item.key, item.value, item.version);
         }
         // `live/job/...` sorts before `live/lead`, so the leader's key is on the last page.
-        if page.more && last.is_some() {
-            self.list_live(Some(first), last);
+        if page.has_more && last.is_some() {
+            self.list_live(Some(first_revision), last);
             return;
         }
         if !led {
-            self.on_leader_gone(first);
+            self.on_leader_gone(first_revision);
         }
         let listed = &self.listed;
         self.unreadable.retain(|key| {
@@ -81,25 +81,25 @@
         let missing: Vec<JobId> = self
             .jobs
             .keys()
-            .chain(self.pipelines.ids())
+            .chain(self.dependencies.ids())
             .filter(|id| !self.listed.contains(*id))
             .cloned()
             .collect();
         for id in missing {
-            self.on_job_removed(&id, first);
+            self.on_job_removed(&id, first_revision);
         }
         self.listed.clear();
-        self.revision = Some(first);
+        self.revision = Some(first_revision);
         self.watch.worked(self.now);
     }
 
-    pub(super) fn on_watched(&mut self, sent: Ms, result: Result<StoreReply, StoreError>) {
+    pub(super) fn on_watched(&mut self, sent_at: Ms, result: Result<StoreReply, StoreError>) {
         match result {
-            Ok(StoreReply::Changed(changes)) => {
-                self.apply_changes(sent, changes);
+            Ok(StoreReply::Changes(changes)) => {
+                self.apply_changes(sent_at, changes);
                 self.watch.worked(self.now);
             }
-            Err(StoreError::TooOld) => {
+            Err(StoreError::Compacted) => {
                 tracing::info!("changes missed, reading all records again");
                 self.revision = None;
                 self.watch.worked(self.now);
@@ -115,19 +115,19 @@
 
     /// Takes in all changes up to a revision. An answer that another one has overtaken tells
     /// nothing new, and what it tells may be out of date.
-    pub(super) fn apply_changes(&mut self, sent: Ms, changes: Changes) {
-        self.fresh_at = self.fresh_at.max(Some(sent));
+    pub(super) fn apply_changes(&mut self, sent_at: Ms, changes: Changes) {
+        self.fresh_at = self.fresh_at.max(Some(sent_at));
         if self.revision.is_some_and(|known| known >= changes.revision) {
             return;
         }
         for event in changes.events {
             match event {
-                Event::Put {
-                    put,
+                WatchEvent::Put {
+                    key,
                     value,
                     version,
-                } => self.on_put(&put, value, version),
-                Event::Delete { delete, version } => self.on_delete(&delete, version),
+                } => self.on_put(&key, value, version),
+                WatchEvent::Delete { key, version } => self.on_delete(&key, version),
             }
         }
         self.revision = Some(changes.revision);
@@ -136,7 +136,7 @@
     fn on_put(&mut self, key: &str, value: Value, version: u64) {
         if key == LEAD {
             match records::read::<LeadRecord>(value) {
-                Some(lead) => self.on_leader_seen(Holder {
+                Some(lead) => self.on_leader_seen(ObservedLeader {
                     node: lead.node,
                     term: lead.term,
                     version,
@@ -146,7 +146,7 @@
         } else if let Some(id) = key.strip_prefix(JOBS) {
             let id = JobId::from(id);
             let known = self.jobs.get(&id).map(|j| j.version);
-            let known = known.max(self.pipelines.version(&id));
+            let known = known.max(self.dependencies.version(&id));
             if known.is_some_and(|v| v >= version) {
                 return;
             }
@@ -158,9 +158,9 @@
             };
             self.unreadable.remove(key);
             if record.waits() {
-                return self.pipelines.put(id, record, version);
+                return self.dependencies.put(id, record, version);
             }
-            self.pipelines.remove(&id);
+            self.dependencies.remove(&id);
             match self.jobs.get_mut(&id) {
                 Some(job) => job.version = version,
                 None => self.admit(&id, &record, version),
@@ -169,7 +169,7 @@
                 self.on_cancelled(&id);
             }
             if let Some(leader) = self.leader_mut() {
-                leader.dirty = true;
+                leader.needs_scheduling = true;
             }
         }
     }
@@ -189,22 +189,25 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        if matches!(job.phase, Phase::Cancelled | Phase::Done { written: true }) {
+        if matches!(
+            job.phase,
+            JobPhase::Cancelled | JobPhase::Done { recorded: true }
+        ) {
             return;
         }
-        job.phase = Phase::Cancelled;
-        job.stop_all(0, now);
-        self.pipelines.mark_changed();
+        job.phase = JobPhase::Cancelled;
+        job.stop_all_tasks(0, now);
+        self.dependencies.mark_changed();
         self.send_stops(id);
-        self.settle_job(id);
+        self.finish_job_if_over(id);
     }
 
     /// A job's record is gone: the leader has written its end.
     fn on_job_removed(&mut self, id: &JobId, version: u64) {
-        if self.pipelines.version(id).is_some_and(|v| v <= version) {
-            self.pipelines.remove(id);
+        if self.dependencies.version(id).is_some_and(|v| v <= version) {
+            self.dependencies.remove(id);
         }
-        self.pipelines.mark_changed();
+        self.dependencies.mark_changed();
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -214,17 +217,18 @@
         if job.is_open() {
             // Only a leader removes a record, and this one believes the job open: a successor
             // has ended it. What is still placed is stopped rather than lost track of.
-            job.phase = Phase::Done { written: true };
-            job.stop_all(0, self.now);
-        } else if matches!(job.phase, Phase::Done { .. }) {
-            job.phase = Phase::Done { written: true };
+            job.phase = JobPhase::Done { recorded: true };
+            job.stop_all_tasks(0, self.now);
+        } else if matches!(job.phase, JobPhase::Done { .. }) {
+            job.phase = JobPhase::Done { recorded: true };
         }
-        let cancelled = job.phase == Phase::Cancelled;
-        if job.live.is_empty() {
+        let cancelled = job.phase == JobPhase::Cancelled;
+        if job.placements.is_empty() {
             self.jobs.remove(id);
         }
         if cancelled {
-            self.pipelines.note_end(id, JobState::Cancelled);
+            self.dependencies
+                .record_final_state(id, JobState::Cancelled);
         }
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,6 +1,6 @@
 //! The one HTTP client, shared by the clients of state service, cloud and workers.
 
-use crate::constants as k;
+use crate::constants;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::{Method, Request};
@@ -24,7 +24,7 @@
     #[error("no answer: {0}")]
     NoAnswer(String),
     /// Executed, but the answer is longer than what is read of one.
-    #[error("answer over {} bytes", k::ANSWER_MAX)]
+    #[error("answer over {} bytes", constants::MAX_RESPONSE_BYTES)]
     TooLong,
 }
 
@@ -35,7 +35,7 @@
 
 impl Default for HttpClient {
     fn default() -> Self {
-        HttpClient::keeping(k::POOL_IDLE)
+        HttpClient::keeping(constants::MAX_IDLE_CONNECTIONS)
     }
 }
 
@@ -44,10 +44,10 @@
     pub fn keeping(idle: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(k::CONNECT_TIMEOUT));
+        connector.set_connect_timeout(Some(constants::CONNECT_TIMEOUT));
         let inner = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(k::POOL_IDLE_FOR)
+            .pool_idle_timeout(constants::IDLE_CONNECTION_TIMEOUT)
             .pool_max_idle_per_host(idle)
             .build(connector);
         HttpClient { inner }
@@ -80,7 +80,7 @@
                 }
             })?;
             let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), k::ANSWER_MAX)
+            let body = Limited::new(answer.into_body(), constants::MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .map_err(|e| match e.is::<LengthLimitError>() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,18 +4,18 @@
 //! The design, and the argument for its safety, are in `docs/design.md`.
 
 pub mod api;
+pub mod autoscaler;
+pub mod bounded_map;
 pub mod cloud;
 pub mod constants;
 pub mod engine;
-pub mod fleet;
 pub mod http;
 pub mod model;
 pub mod node;
 pub mod peer;
 pub mod placement;
-pub mod recent;
+pub mod rate_limit;
 pub mod settings;
 pub mod store;
-pub mod tokens;
 pub mod wire;
 pub mod workers;
--- a/src/model/dependencies.rs
+++ b/src/model/dependencies.rs
@@ -1,16 +1,16 @@
 //! Jobs that wait for others: which may start, and which are cancelled with one that they need.
 //! Pure: a function of the waiting jobs and of what is known of those that they name.
 
-use super::JobId;
+use super::{InheritedUrgency, JobId};
 use std::collections::BTreeMap;
 
 /// How a waiting job stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum DependencyState {
     /// Something that it needs is not done yet.
-    Waits,
+    Waiting,
     /// All that it needs is done.
-    Ready,
+    Satisfied,
     /// Something that it needs, directly or through others, is cancelled, and so is it.
     Cancelled,
     /// It can't be told: of something that it needs nothing is known.
@@ -19,7 +19,7 @@
 
 /// What is known of a job that does not wait itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Awaited {
+pub enum UpstreamState {
     Open,
     Done,
     Cancelled,
@@ -27,14 +27,14 @@
 }
 
 /// The waiting jobs with what each awaits.
-pub type Waiting<'a> = BTreeMap<&'a JobId, &'a [JobId]>;
+pub type DependencyGraph<'a> = BTreeMap<&'a JobId, &'a [JobId]>;
 
 /// The waiting jobs in an order in which each comes after those that it awaits, with how it stands.
 /// Jobs that wait for each other in a circle, which no submission can make, are left out.
-pub fn standings<'a>(
-    waiting: &Waiting<'a>,
-    known: impl Fn(&JobId) -> Awaited,
-) -> Vec<(&'a JobId, Standing)> {
+pub fn evaluate<'a>(
+    waiting: &DependencyGraph<'a>,
+    known: impl Fn(&JobId) -> UpstreamState,
+) -> Vec<(&'a JobId, DependencyState)> {
     let mut missing: BTreeMap<&JobId, usize> = BTreeMap::new();
     let mut needed_by: BTreeMap<&JobId, Vec<&'a JobId>> = BTreeMap::new();
     let mut next = Vec::new();
@@ -49,17 +49,17 @@
         }
     }
     let mut order = Vec::new();
-    let mut standing_of: BTreeMap<&JobId, Standing> = BTreeMap::new();
+    let mut states: BTreeMap<&JobId, DependencyState> = BTreeMap::new();
     while let Some(id) = next.pop() {
-        let awaited = waiting[id].iter().map(|a| match standing_of.get(a) {
-            Some(Standing::Cancelled) => Awaited::Cancelled,
-            Some(Standing::Unknown) => Awaited::Unknown,
-            Some(_) => Awaited::Open,
+        let awaited = waiting[id].iter().map(|a| match states.get(a) {
+            Some(DependencyState::Cancelled) => UpstreamState::Cancelled,
+            Some(DependencyState::Unknown) => UpstreamState::Unknown,
+            Some(_) => UpstreamState::Open,
             None => known(a),
         });
-        let standing = awaited.fold(Standing::Ready, after);
-        standing_of.insert(id, standing);
-        order.push((id, standing));
+        let state = awaited.fold(DependencyState::Satisfied, after);
+        states.insert(id, state);
+        order.push((id, state));
         for later in needed_by.remove(id).into_iter().flatten() {
             if let Some(count) = missing.get_mut(later) {
                 *count -= 1;
@@ -73,35 +73,41 @@
 }
 
 /// How a job stands that stood so before one more that it awaits was looked at.
-fn after(standing: Standing, awaited: Awaited) -> Standing {
-    match (standing, awaited) {
-        (Standing::Cancelled, _) | (_, Awaited::Cancelled) => Standing::Cancelled,
-        (Standing::Unknown, _) | (_, Awaited::Unknown) => Standing::Unknown,
-        (Standing::Waits, _) | (_, Awaited::Open) => Standing::Waits,
-        (Standing::Ready, Awaited::Done) => Standing::Ready,
+fn after(state: DependencyState, awaited: UpstreamState) -> DependencyState {
+    match (state, awaited) {
+        (DependencyState::Cancelled, _) | (_, UpstreamState::Cancelled) => {
+            DependencyState::Cancelled
+        }
+        (DependencyState::Unknown, _) | (_, UpstreamState::Unknown) => DependencyState::Unknown,
+        (DependencyState::Waiting, _) | (_, UpstreamState::Open) => DependencyState::Waiting,
+        (DependencyState::Satisfied, UpstreamState::Done) => DependencyState::Satisfied,
     }
 }
 
-/// What each job that the waiting ones need is lent by them: the highest of their `worth`s as
-/// `better` has it. `order` is that of [`standings`].
-pub fn lend<T: Copy>(
-    waiting: &Waiting<'_>,
-    order: &[(&JobId, Standing)],
-    worth: impl Fn(&JobId) -> Option<T>,
-    better: impl Fn(T, T) -> T,
-) -> BTreeMap<JobId, T> {
-    let mut lent: BTreeMap<JobId, T> = BTreeMap::new();
-    for (id, standing) in order.iter().rev() {
-        let Some(own) = worth(id).filter(|_| *standing != Standing::Cancelled) else {
+/// The urgency that each job inherits from the waiting jobs that depend on it, directly or through
+/// others. `order` is that of [`evaluate`].
+pub fn inherit_urgency(
+    graph: &DependencyGraph<'_>,
+    order: &[(&JobId, DependencyState)],
+    own_urgency: impl Fn(&JobId) -> Option<InheritedUrgency>,
+) -> BTreeMap<JobId, InheritedUrgency> {
+    let mut inherited: BTreeMap<JobId, InheritedUrgency> = BTreeMap::new();
+    for (id, state) in order.iter().rev() {
+        let own = own_urgency(id).filter(|_| *state != DependencyState::Cancelled);
+        let Some(own) = own else {
             continue;
         };
-        let all = lent.get(*id).map_or(own, |from| better(own, *from));
-        for awaited in waiting[*id] {
-            let best = lent.get(awaited).map_or(all, |from| better(all, *from));
-            lent.insert(awaited.clone(), best);
+        let passed_on = inherited
+            .get(*id)
+            .map_or(own, |from| own.most_urgent(*from));
+        for upstream in graph[*id] {
+            let urgency = inherited
+                .get(upstream)
+                .map_or(passed_on, |from| passed_on.most_urgent(*from));
+            inherited.insert(upstream.clone(), urgency);
         }
     }
-    lent
+    inherited
 }
 
 #[cfg(test)]
--- a/src/model/dependencies/tests.rs
+++ b/src/model/dependencies/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::wire::user::Priority;
 
 fn id(n: usize) -> JobId {
     JobId::from(&*format!("run-{n:03}"))
@@ -12,9 +13,12 @@
     jobs
 }
 
-fn stand(jobs: &BTreeMap<JobId, Vec<JobId>>, first: Awaited) -> BTreeMap<JobId, Standing> {
-    let waiting: Waiting<'_> = jobs.iter().map(|(id, a)| (id, a.as_slice())).collect();
-    let order = standings(&waiting, |_| first);
+fn stand(
+    jobs: &BTreeMap<JobId, Vec<JobId>>,
+    first: UpstreamState,
+) -> BTreeMap<JobId, DependencyState> {
+    let waiting: DependencyGraph<'_> = jobs.iter().map(|(id, a)| (id, a.as_slice())).collect();
+    let order = evaluate(&waiting, |_| first);
     order.into_iter().map(|(id, s)| (id.clone(), s)).collect()
 }
 
@@ -22,11 +26,20 @@
 fn a_cancellation_goes_forward_through_any_number_of_steps() {
     let jobs = chain();
     let all = |awaited| stand(&jobs, awaited).into_values().collect::<Vec<_>>();
-    assert_eq!(all(Awaited::Cancelled), vec![Standing::Cancelled; 100]);
-    assert_eq!(all(Awaited::Unknown), vec![Standing::Unknown; 100]);
-    assert_eq!(all(Awaited::Open), vec![Standing::Waits; 100]);
-    let done = stand(&jobs, Awaited::Done);
-    let ready = |n: usize| done[&id(n)] == Standing::Ready;
+    assert_eq!(
+        all(UpstreamState::Cancelled),
+        vec![DependencyState::Cancelled; 100]
+    );
+    assert_eq!(
+        all(UpstreamState::Unknown),
+        vec![DependencyState::Unknown; 100]
+    );
+    assert_eq!(
+        all(UpstreamState::Open),
+        vec![DependencyState::Waiting; 100]
+    );
+    let done = stand(&jobs, UpstreamState::Done);
+    let ready = |n: usize| done[&id(n)] == DependencyState::Satisfied;
     assert_eq!((1..=100).filter(|n| ready(*n)).collect::<Vec<_>>(), [1]);
 }
 
@@ -34,28 +47,39 @@
 #[test]
 fn the_worst_of_what_a_job_awaits_decides() {
     let jobs = BTreeMap::from([(id(9), (0..3).map(id).collect())]);
-    let stands = |states: [Awaited; 3]| {
-        let waiting: Waiting<'_> = jobs
+    let stands = |states: [UpstreamState; 3]| {
+        let waiting: DependencyGraph<'_> = jobs
             .iter()
             .map(|(id, a): (_, &Vec<_>)| (id, a.as_slice()))
             .collect();
         let of = |a: &JobId| states[(0..3).find(|n| id(*n) == *a).unwrap()];
-        standings(&waiting, of)[0].1
+        evaluate(&waiting, of)[0].1
     };
-    use Awaited::*;
-    assert_eq!(stands([Done, Done, Done]), Standing::Ready);
-    assert_eq!(stands([Done, Open, Done]), Standing::Waits);
-    assert_eq!(stands([Open, Unknown, Done]), Standing::Unknown);
-    assert_eq!(stands([Unknown, Cancelled, Open]), Standing::Cancelled);
+    use UpstreamState::*;
+    assert_eq!(stands([Done, Done, Done]), DependencyState::Satisfied);
+    assert_eq!(stands([Done, Open, Done]), DependencyState::Waiting);
+    assert_eq!(stands([Open, Unknown, Done]), DependencyState::Unknown);
+    assert_eq!(
+        stands([Unknown, Cancelled, Open]),
+        DependencyState::Cancelled
+    );
 }
 
 #[test]
-fn the_last_steps_worth_flows_back_to_the_first() {
+fn the_last_jobs_urgency_is_inherited_by_all_before_it() {
     let jobs = chain();
-    let waiting: Waiting<'_> = jobs.iter().map(|(id, a)| (id, a.as_slice())).collect();
-    let order = standings(&waiting, |_| Awaited::Open);
-    let worth = |job: &JobId| Some(if *job == id(100) { 7 } else { 1 });
-    let lent = lend(&waiting, &order, worth, u32::max);
-    assert_eq!(lent.len(), 100);
-    assert!(lent.values().all(|worth| *worth == 7));
+    let graph: DependencyGraph<'_> = jobs.iter().map(|(id, a)| (id, a.as_slice())).collect();
+    let order = evaluate(&graph, |_| UpstreamState::Open);
+    let urgent = InheritedUrgency {
+        priority: Priority::High,
+        deadline: 1_000,
+    };
+    let relaxed = InheritedUrgency {
+        priority: Priority::Low,
+        deadline: 2_000,
+    };
+    let own = |job: &JobId| Some(if *job == id(100) { urgent } else { relaxed });
+    let inherited = inherit_urgency(&graph, &order, own);
+    assert_eq!(inherited.len(), 100);
+    assert!(inherited.values().all(|urgency| *urgency == urgent));
 }
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -1,274 +1,378 @@
 //! A job, its tasks, and where they are.
 
-use crate::constants::{AGED_MS, FAILURES_AGED, NO_DEADLINE_MS};
-
-use super::{MachineId, Ms, Resources, SeqNo, TaskSet};
-use crate::wire::user::{self, Kind, Priority};
+use super::{HeartbeatSequence, MachineId, Ms, Resources, TaskSet};
+use crate::constants::{NO_DEADLINE_MS, STARVATION_AFTER_MS, STARVATION_MAX_FAILURES};
+use crate::wire::user::{self, JobKind, JobSubmission, Priority};
 use crate::wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A submission in whole units.
+/// What a job asks for: its submission in the units of the scheduler.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Spec {
+pub struct JobSpec {
+    /// Class of the job; service-level objectives name it.
     pub class: Arc<str>,
+    /// Team that owns the job.
     pub team: Arc<str>,
-    pub kind: Kind,
+    /// How the tasks belong together.
+    pub kind: JobKind,
+    /// The priority that its user gave it.
     pub priority: Priority,
+    /// Number of tasks.
     pub tasks: u32,
-    pub need: Resources,
+    /// Resources that each task requests.
+    pub request: Resources,
+    /// Image that the tasks need.
     pub image: Arc<str>,
+    /// Size of the image, GB.
     pub image_gb: f64,
-    pub types: Option<Vec<Arc<str>>>,
+    /// Machine types that the tasks may use; all if absent.
+    pub machine_types: Option<Vec<Arc<str>>>,
+    /// The only zone that the tasks may use; any if absent.
     pub zone: Option<Arc<str>>,
-    pub one_zone: bool,
-    pub spread: bool,
-    pub spot: bool,
-    pub estimate_ms: u64,
+    /// Whether all tasks must be in one zone at any time.
+    pub single_zone: bool,
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
+    pub spread_zones: bool,
+    /// Whether the tasks may use spot instances.
+    pub allows_spot: bool,
+    /// The owner's estimate of a task's run time, ms.
+    pub expected_duration_ms: u64,
+    /// Time from the submission to the deadline, ms, if there is one.
     pub deadline_ms: Option<u64>,
-    pub checkpoint_ms: u64,
-    pub save_s: f64,
+    /// Progress between two checkpoints, ms; 0 without checkpoints.
+    pub checkpoint_interval_ms: u64,
+    /// Time that writing a checkpoint takes, s.
+    pub checkpoint_cost_s: f64,
 }
 
-impl Spec {
-    pub fn read(job: &user::Job) -> Self {
-        Spec {
+impl From<&JobSubmission> for JobSpec {
+    fn from(job: &JobSubmission) -> Self {
+        let machine_types = job.machine_types.as_ref();
+        JobSpec {
             class: job.class.as_str().into(),
             team: job.team.as_str().into(),
             kind: job.kind,
             priority: job.priority,
             tasks: job.tasks.min(user::MAX_TASKS) as u32,
-            need: Resources::demand(job.cpus, job.gpus, job.memory_gb),
+            request: Resources::demand(job.cpus, job.gpus, job.memory_gb),
             image: job.image.as_str().into(),
             image_gb: job.image_gb,
-            types: job
-                .types
-                .as_ref()
-                .map(|types| types.iter().map(|t| t.as_str().into()).collect()),
+            machine_types: machine_types
+                .map(|names| names.iter().map(|name| name.as_str().into()).collect()),
             zone: job.zone.as_deref().map(Into::into),
-            one_zone: job.one_zone,
-            spread: job.spread,
-            spot: job.spot,
-            estimate_ms: (job.estimate_s * 1000.0) as u64,
-            deadline_ms: job.deadline_s.map(|s| (s * 1000.0) as u64),
-            checkpoint_ms: (job.checkpoint_s * 1000.0) as u64,
-            save_s: job.save_s,
+            single_zone: job.single_zone,
+            spread_zones: job.spread_zones,
+            allows_spot: job.allows_spot,
+            expected_duration_ms: (job.expected_duration_s * 1000.0) as u64,
+            deadline_ms: job.deadline_s.map(|seconds| (seconds * 1000.0) as u64),
+            checkpoint_interval_ms: (job.checkpoint_interval_s * 1000.0) as u64,
+            checkpoint_cost_s: job.checkpoint_cost_s,
         }
     }
+}
 
+impl JobSpec {
     /// Most tasks that may be in one zone.
-    pub fn zone_most(&self) -> u32 {
-        if self.spread {
+    pub fn max_tasks_per_zone(&self) -> u32 {
+        if self.spread_zones {
             self.tasks.div_ceil(2)
         } else {
             self.tasks
         }
     }
 
-    /// Everything the job would use at once.
-    pub fn whole(&self) -> Resources {
-        self.need.times(u64::from(self.tasks))
+    /// Resources of all tasks together.
+    pub fn total_request(&self) -> Resources {
+        self.request.times(u64::from(self.tasks))
     }
 
-    /// What must fit within a team's limit for the job to be able to run at all.
-    pub fn least(&self) -> Resources {
+    /// What must fit within the team's limit for the job to be able to run at all.
+    pub fn min_request(&self) -> Resources {
         match self.kind {
-            Kind::Array => self.need,
-            Kind::Gang | Kind::Service => self.whole(),
+            JobKind::Array => self.request,
+            JobKind::Gang | JobKind::Service => self.total_request(),
         }
     }
 
-    /// When it should be complete if it was submitted then, time of day, ms.
-    pub fn due(&self, submitted: u64) -> u64 {
-        submitted.saturating_add(self.deadline_ms.unwrap_or(NO_DEADLINE_MS))
+    /// The deadline of a job that was submitted then; both as unix time, ms. A job without one
+    /// stands behind all that are due within an hour.
+    pub fn deadline(&self, submitted_at: u64) -> u64 {
+        submitted_at.saturating_add(self.deadline_ms.unwrap_or(NO_DEADLINE_MS))
     }
 
-    /// Grace for an orderly stop, s: enough to save.
-    pub fn grace_s(&self) -> u64 {
-        if self.checkpoint_ms == 0 {
+    /// Grace for a stop, s: enough to write a checkpoint.
+    pub fn checkpoint_grace_s(&self) -> u64 {
+        if self.checkpoint_interval_ms == 0 {
             0
         } else {
-            self.save_s.ceil() as u64 + 1
+            self.checkpoint_cost_s.ceil() as u64 + 1
         }
     }
 }
 
+/// Where a job stands between its submission and its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum JobPhase {
     /// Accepted; runs or waits.
     Open,
-    /// Its user cancelled it; durable.
+    /// Cancelled, durably.
     Cancelled,
-    /// All tasks are done; `written` once that is durable.
-    Done { written: bool },
+    /// All tasks have completed.
+    Done {
+        /// Whether that is durable.
+        recorded: bool,
+    },
 }
 
 /// Where a placed task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum PlacementStage {
     /// Its round is being written.
     Planned,
-    /// Its round is durable. `sent`: the report whose response carried the start.
-    Starting { sent: Option<SeqNo>, resends: u32 },
-    /// A report named it.
-    Up(TaskState),
+    /// Its round is durable; no heartbeat has named the task yet.
+    Starting {
+        /// The heartbeat whose response last carried the start.
+        sent: Option<HeartbeatSequence>,
+        /// How often the start was sent again.
+        resends: u32,
+    },
+    /// A heartbeat named the task in this state.
+    Reported(TaskState),
 }
 
-/// An order to stop, repeated until the task is gone.
+/// A request to stop a task, repeated until the task is gone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stop {
+pub struct StopRequest {
+    /// Seconds in which the task may write a checkpoint.
     pub grace_s: u64,
-    pub at: Ms,
+    /// When the task was first told to stop.
+    pub requested_at: Ms,
 }
 
 /// A task that is, or may be, on a machine. It counts for every rule until it surely is not.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
+    /// The machine.
     pub machine: MachineId,
+    /// Number of the round that started the task.
     pub attempt: u64,
-    pub stage: Stage,
-    pub since: Ms,
-    pub stop: Option<Stop>,
+    /// Where the start stands.
+    pub stage: PlacementStage,
+    /// When the round was planned, when it became durable, or when a heartbeat first named the
+    /// task, whichever came last.
+    pub stage_since: Ms,
+    /// Set while the task is being stopped.
+    pub stop_request: Option<StopRequest>,
+}
+
+/// The highest priority and the earliest deadline of the jobs that depend on a job, directly or
+/// through others: users set both on the last job of a pipeline only.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct InheritedUrgency {
+    /// Highest priority.
+    pub priority: Priority,
+    /// Earliest deadline, unix time, ms.
+    pub deadline: u64,
+}
+
+impl InheritedUrgency {
+    /// The more urgent of both in each respect.
+    pub fn most_urgent(self, other: InheritedUrgency) -> InheritedUrgency {
+        InheritedUrgency {
+            priority: self.priority.max(other.priority),
+            deadline: self.deadline.min(other.deadline),
+        }
+    }
 }
 
+/// A job that may run, as this node knows it.
 #[derive(Debug, Clone)]
 pub struct Job {
-    pub spec: Spec,
+    /// What it asks for.
+    pub spec: JobSpec,
     /// Version of its record in the state service.
     pub version: u64,
-    pub phase: Phase,
-    /// Time of day of its submission, ms; orders jobs across nodes.
-    pub submitted: u64,
-    /// Time of day from which it could run, ms: when it was submitted, or when the last job that it
-    /// awaited was done.
-    pub ready: u64,
-    /// The highest priority and the earliest due time of the jobs that need it, directly or through
-    /// others: users set both on the last job of a pipeline only.
-    pub needed: Option<(Priority, u64)>,
-    pub done: TaskSet,
-    /// Tasks whose end is durable.
-    pub written: TaskSet,
-    /// The records of that, with their versions.
-    pub progress: BTreeMap<String, u64>,
+    /// Where it stands.
+    pub phase: JobPhase,
+    /// Unix time of its submission, ms; orders jobs in the same way on all nodes.
+    pub submitted_at: u64,
+    /// Unix time from which it could run, ms: when it was submitted, or when its last dependency
+    /// was done.
+    pub ready_at: u64,
+    /// Urgency of the jobs that depend on it.
+    pub inherited: Option<InheritedUrgency>,
+    /// Tasks that have completed.
+    pub completed: TaskSet,
+    /// Tasks whose completion is durable.
+    pub durable_completions: TaskSet,
+    /// Keys of the records of durable completions, with their versions.
+    pub progress_records: BTreeMap<String, u64>,
     /// Tasks that wait to be placed.
     pub pending: TaskSet,
-    pub live: BTreeMap<u32, Placement>,
-    /// Failures in a row, and when the job may start tasks again.
-    pub failures: u32,
-    pub not_before: Ms,
+    /// Tasks that are or may be on machines, by index.
+    pub placements: BTreeMap<u32, Placement>,
+    /// Task failures in a row.
+    pub consecutive_failures: u32,
+    /// No task starts before.
+    pub backoff_until: Ms,
     /// Machines on which its tasks failed since one last completed.
     pub failed_on: BTreeSet<MachineId>,
-    /// First known here at.
-    pub seen: Ms,
+    /// When this node first knew of it.
+    pub first_seen_at: Ms,
 }
 
 impl Job {
-    pub fn new(spec: Spec, version: u64, submitted: u64, phase: Phase, seen: Ms) -> Self {
+    /// A job of which nothing is placed or completed.
+    pub fn new(
+        spec: JobSpec,
+        version: u64,
+        submitted_at: u64,
+        phase: JobPhase,
+        first_seen_at: Ms,
+    ) -> Self {
         let pending = TaskSet::full(spec.tasks);
         Job {
             spec,
             version,
             phase,
-            submitted,
-            ready: submitted,
-            needed: None,
-            done: TaskSet::default(),
-            written: TaskSet::default(),
-            progress: BTreeMap::new(),
+            submitted_at,
+            ready_at: submitted_at,
+            inherited: None,
+            completed: TaskSet::default(),
+            durable_completions: TaskSet::default(),
+            progress_records: BTreeMap::new(),
             pending,
-            live: BTreeMap::new(),
-            failures: 0,
-            not_before: 0,
+            placements: BTreeMap::new(),
+            consecutive_failures: 0,
+            backoff_until: 0,
             failed_on: BTreeSet::new(),
-            seen,
+            first_seen_at,
         }
     }
 
-    /// When it should be complete, time of day, ms: by its owner, or long after submission; or when
-    /// a job that needs it should be.
-    pub fn due(&self) -> u64 {
-        let own = self.spec.due(self.submitted);
-        self.needed.map_or(own, |(_, due)| own.min(due))
+    /// Forgets what only a leader knows: placements, completions and failures.
+    pub fn forget_leader_state(&mut self) {
+        let fresh = Job::new(
+            self.spec.clone(),
+            self.version,
+            self.submitted_at,
+            self.phase,
+            self.first_seen_at,
+        );
+        *self = Job {
+            ready_at: self.ready_at,
+            inherited: self.inherited,
+            ..fresh
+        };
     }
 
-    /// Its own priority, or that of a job that needs it.
+    /// Its deadline as unix time, ms: its own, or an earlier one of a job that depends on it.
+    pub fn deadline(&self) -> u64 {
+        let own = self.spec.deadline(self.submitted_at);
+        self.inherited
+            .map_or(own, |inherited| own.min(inherited.deadline))
+    }
+
+    /// Its own priority, or a higher one of a job that depends on it.
     pub fn priority(&self) -> Priority {
         let own = self.spec.priority;
-        self.needed.map_or(own, |(priority, _)| own.max(priority))
+        self.inherited
+            .map_or(own, |inherited| own.max(inherited.priority))
     }
 
-    /// Whether nothing of it has run or runs although it could have long before `wall` (time of
-    /// day, ms). One that keeps failing waits for a reason of its own.
-    pub fn is_aged(&self, wall: u64) -> bool {
-        self.live.is_empty()
-            && self.done.is_empty()
-            && self.failures < FAILURES_AGED
-            && wall.saturating_sub(self.ready) > AGED_MS
+    /// Whether nothing of it has run or runs although it could have long before `unix_ms`. One
+    /// that keeps failing waits for a reason of its own.
+    pub fn is_starving(&self, unix_ms: u64) -> bool {
+        self.placements.is_empty()
+            && self.completed.is_empty()
+            && self.consecutive_failures < STARVATION_MAX_FAILURES
+            && unix_ms.saturating_sub(self.ready_at) > STARVATION_AFTER_MS
     }
 
+    /// Whether it runs or waits.
     pub fn is_open(&self) -> bool {
-        self.phase == Phase::Open
+        self.phase == JobPhase::Open
     }
 
+    /// Whether its tasks start and complete together.
     pub fn is_gang(&self) -> bool {
-        self.spec.kind == Kind::Gang
+        self.spec.kind == JobKind::Gang
     }
 
-    /// What its placed tasks hold.
-    pub fn held(&self) -> Resources {
-        self.spec.need.times(self.live.len() as u64)
+    /// Resources of its placed tasks.
+    pub fn allocated(&self) -> Resources {
+        self.spec.request.times(self.placements.len() as u64)
     }
 
     /// Records a task as completed; true if that completes the job.
     pub fn complete(&mut self, index: u32) -> bool {
-        if index >= self.spec.tasks || self.spec.kind == Kind::Service || !self.is_open() {
+        if index >= self.spec.tasks || self.spec.kind == JobKind::Service || !self.is_open() {
             return false;
         }
         if self.is_gang() {
             // The tasks of a gang complete together.
-            self.done = TaskSet::full(self.spec.tasks);
+            self.completed = TaskSet::full(self.spec.tasks);
             self.pending = TaskSet::default();
         } else {
-            self.done.insert(index);
+            self.completed.insert(index);
             self.pending.remove(index);
         }
-        let all = self.done.len() == u64::from(self.spec.tasks);
+        let all = self.completed.len() == u64::from(self.spec.tasks);
         if all {
-            self.phase = Phase::Done { written: false };
+            self.phase = JobPhase::Done { recorded: false };
         }
         all
     }
 
-    /// Takes a task off its machine, to which it surely no longer belongs; it waits again
-    /// unless it is done.
-    pub fn take_off(&mut self, index: u32) -> Option<Placement> {
-        let placement = self.live.remove(&index)?;
-        if !self.done.contains(index) {
+    /// Places a task that waits.
+    pub fn place(&mut self, index: u32, placement: Placement) {
+        self.pending.remove(index);
+        self.placements.insert(index, placement);
+    }
+
+    /// Removes the placement of a task that surely is not on its machine any more; the task waits
+    /// again unless it has completed.
+    pub fn remove_placement(&mut self, index: u32) -> Option<Placement> {
+        let placement = self.placements.remove(&index)?;
+        if !self.completed.contains(index) {
             self.pending.insert(index);
         }
         Some(placement)
     }
 
-    /// Tells all placed tasks to stop (an earlier, shorter grace stands).
-    pub fn stop_all(&mut self, grace_s: u64, now: Ms) {
-        for placement in self.live.values_mut() {
-            placement.order_stop(grace_s, now);
+    /// Asks all placed tasks to stop; an earlier request with a shorter grace stands.
+    pub fn stop_all_tasks(&mut self, grace_s: u64, now: Ms) {
+        for placement in self.placements.values_mut() {
+            placement.request_stop(grace_s, now);
         }
     }
 
+    /// Number of tasks that run.
     pub fn running(&self) -> u64 {
-        self.live
+        self.placements
             .values()
-            .filter(|p| matches!(p.stage, Stage::Up(TaskState::Running)))
+            .filter(|placement| {
+                matches!(
+                    placement.stage,
+                    PlacementStage::Reported(TaskState::Running)
+                )
+            })
             .count() as u64
     }
 }
 
 impl Placement {
-    pub fn order_stop(&mut self, grace_s: u64, now: Ms) {
-        match &mut self.stop {
+    /// Asks the task to stop; an earlier request with a shorter grace stands.
+    pub fn request_stop(&mut self, grace_s: u64, now: Ms) {
+        match &mut self.stop_request {
             Some(stop) => stop.grace_s = stop.grace_s.min(grace_s),
-            None => self.stop = Some(Stop { grace_s, at: now }),
+            None => {
+                self.stop_request = Some(StopRequest {
+                    grace_s,
+                    requested_at: now,
+                });
+            }
         }
     }
 }
--- a/src/model/machine.rs
+++ b/src/model/machine.rs
@@ -7,20 +7,20 @@
 
 /// Orders a machine's messages: a larger one is newer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct SeqNo {
-    pub session: u64,
-    pub seq: u64,
+pub struct HeartbeatSequence {
+    pub incarnation: u64,
+    pub sequence: u64,
 }
 
 /// The right to give orders to workers, as they compare it: a leader's term, and a count below
 /// it that the leader raises to make a worker report at once.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
 
-impl Token {
+impl FencingToken {
     /// The least token of a term.
-    pub fn first(term: u64) -> Self {
-        Token(term << TOKEN_BITS)
+    pub fn first_of_term(term: u64) -> Self {
+        FencingToken(term << TOKEN_BITS)
     }
 
     pub fn term(self) -> u64 {
@@ -29,7 +29,7 @@
 
     /// A higher one of the same term; the same one if the term has no more.
     pub fn next(self) -> Self {
-        let next = Token(self.0 + 1);
+        let next = FencingToken(self.0 + 1);
         if next.term() == self.term() {
             next
         } else {
@@ -51,31 +51,31 @@
 #[derive(Debug, Clone)]
 pub struct Machine {
     pub id: MachineId,
-    pub addr: Option<std::net::SocketAddr>,
+    pub address: Option<std::net::SocketAddr>,
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
     pub phase: MachinePhase,
     /// When it was rented, as far as known.
-    pub rented: Ms,
+    pub rented_at: Ms,
     /// When it last proved that it is alive and that our answers reach it (or we learnt of it).
-    pub seen: Ms,
-    pub seq_no: SeqNo,
+    pub last_confirmed_at: Ms,
+    pub heartbeat_sequence: HeartbeatSequence,
     /// The highest token it has seen or been sent in this leader's term.
-    pub token: Token,
+    pub fencing_token: FencingToken,
     /// When it was last sent a higher token to make it report.
-    pub report_requested: Option<Ms>,
+    pub heartbeat_requested_at: Option<Ms>,
     /// When its newest report came in: by itself no sign of life, since reports come late, and
     /// come from machines that our answers don't reach.
-    pub received: Ms,
+    pub last_heartbeat_at: Ms,
     /// Whether its newest report is such a proof. Without one it is given nothing to do.
-    pub heard: bool,
+    pub responsive: bool,
     /// Orders sent directly since its newest report; each that was executed raises its seq_no.
-    pub direct: u64,
+    pub direct_commands: u64,
     /// The cloud has named it: it is more than a report of a machine that may be long gone.
-    pub vouched: bool,
+    pub confirmed_by_cloud: bool,
     /// When the cloud takes it away.
-    pub taken_at: Option<Ms>,
+    pub preemption_at: Option<Ms>,
     /// Tasks placed on it.
     pub tasks: BTreeSet<TaskId>,
     /// Tasks it reports that are not placed there, with their attempts: they are being stopped.
@@ -96,21 +96,21 @@
     pub fn new(id: MachineId, machine_type: Arc<str>, zone: Arc<str>, spot: bool, now: Ms) -> Self {
         Machine {
             id,
-            addr: None,
+            address: None,
             machine_type,
             zone,
             spot,
             phase: MachinePhase::Booting,
-            rented: now,
-            seen: now,
-            seq_no: SeqNo::default(),
-            token: Token::default(),
-            report_requested: None,
-            received: now,
-            heard: false,
-            direct: 0,
-            vouched: false,
-            taken_at: None,
+            rented_at: now,
+            last_confirmed_at: now,
+            heartbeat_sequence: HeartbeatSequence::default(),
+            fencing_token: FencingToken::default(),
+            heartbeat_requested_at: None,
+            last_heartbeat_at: now,
+            responsive: false,
+            direct_commands: 0,
+            confirmed_by_cloud: false,
+            preemption_at: None,
             tasks: BTreeSet::new(),
             orphaned_tasks: BTreeSet::new(),
             images: VecDeque::new(),
@@ -126,18 +126,25 @@
     /// last answer. Any other may be from a machine that our answers don't reach (it asks other
     /// nodes in turn), or a late copy from one that is gone: it proves nothing, and the next one
     /// is waited for.
-    pub fn note_report(&mut self, seq_no: SeqNo, confirmed: bool, now: Ms, on_time: Ms) {
+    pub fn record_heartbeat(
+        &mut self,
+        heartbeat_sequence: HeartbeatSequence,
+        confirmed: bool,
+        now: Ms,
+        on_time: Ms,
+    ) {
         let first = confirmed && self.phase == MachinePhase::Booting;
-        let next = seq_no.session == self.seq_no.session
-            && seq_no.seq <= self.seq_no.seq + 1 + self.direct
-            && now <= self.received + on_time;
-        self.heard = confirmed && (first || next);
-        if self.heard {
-            self.seen = now;
+        let next = heartbeat_sequence.incarnation == self.heartbeat_sequence.incarnation
+            && heartbeat_sequence.sequence
+                <= self.heartbeat_sequence.sequence + 1 + self.direct_commands
+            && now <= self.last_heartbeat_at + on_time;
+        self.responsive = confirmed && (first || next);
+        if self.responsive {
+            self.last_confirmed_at = now;
         }
-        self.seq_no = seq_no;
-        self.received = now;
-        self.direct = 0;
+        self.heartbeat_sequence = heartbeat_sequence;
+        self.last_heartbeat_at = now;
+        self.direct_commands = 0;
     }
 
     pub fn has_image(&self, image: &str) -> bool {
@@ -160,12 +167,12 @@
     }
 
     /// Whether it takes new tasks, apart from room.
-    pub fn takes_tasks(&self) -> bool {
+    pub fn accepts_tasks(&self) -> bool {
         self.phase == MachinePhase::Up
-            && self.heard
+            && self.responsive
             && !self.quarantined
             && !self.draining
-            && self.taken_at.is_none()
+            && self.preemption_at.is_none()
             && self.orphaned_tasks.is_empty()
     }
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -6,8 +6,8 @@
 mod machine;
 mod task_set;
 
-pub use job::{Job, Phase, Placement, Spec, Stage, Stop};
-pub use machine::{Machine, MachinePhase, SeqNo, Token};
+pub use job::{InheritedUrgency, Job, JobPhase, JobSpec, Placement, PlacementStage, StopRequest};
+pub use machine::{FencingToken, HeartbeatSequence, Machine, MachinePhase};
 pub use task_set::TaskSet;
 
 use std::collections::BTreeMap;
@@ -114,16 +114,16 @@
     }
 
     /// How many times `need` fits in; of nothing, as often as anyone asks.
-    pub fn count_of(self, need: Resources) -> u32 {
+    pub fn max_multiple(self, request: Resources) -> u32 {
         let times = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
-        let least = times(self.cpus, need.cpus)
-            .min(times(self.gpus, need.gpus))
-            .min(times(self.memory, need.memory));
+        let least = times(self.cpus, request.cpus)
+            .min(times(self.gpus, request.gpus))
+            .min(times(self.memory, request.memory));
         least.min(u64::from(u32::MAX)) as u32
     }
 
     /// The least of both in each amount.
-    pub fn least_of(self, other: Resources) -> Self {
+    pub fn component_min(self, other: Resources) -> Self {
         Resources {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
@@ -132,7 +132,7 @@
     }
 
     /// How full `self` makes something of size `whole`, in thousandths of its scarcest amount.
-    pub fn share_of(self, whole: Resources) -> u64 {
+    pub fn permille_of(self, whole: Resources) -> u64 {
         let part = |a: u64, b: u64| a.saturating_mul(1000).checked_div(b).unwrap_or(0);
         part(self.cpus, whole.cpus)
             .max(part(self.gpus, whole.gpus))
@@ -172,7 +172,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
     pub name: Arc<str>,
-    pub size: Resources,
+    pub capacity: Resources,
     pub cache_gb: f64,
     pub fetch_gb_per_s: f64,
     pub price: f64,
@@ -181,11 +181,11 @@
     pub zones: Vec<Arc<str>>,
 }
 
-impl MachineType {
-    pub fn read(wire: &crate::wire::cloud::MachineType) -> Self {
+impl From<&crate::wire::cloud::MachineType> for MachineType {
+    fn from(wire: &crate::wire::cloud::MachineType) -> Self {
         MachineType {
             name: wire.name.as_str().into(),
-            size: Resources::capacity(wire.cpus, wire.gpus, wire.memory_gb),
+            capacity: Resources::capacity(wire.cpus, wire.gpus, wire.memory_gb),
             cache_gb: wire.cache_gb,
             fetch_gb_per_s: wire.fetch_gb_per_s,
             price: wire.price,
@@ -194,7 +194,9 @@
             zones: wire.zones.iter().map(|z| z.as_str().into()).collect(),
         }
     }
+}
 
+impl MachineType {
     /// GB of images that it fetches in the time in which one of its type boots.
     pub fn boot_gb(&self) -> f64 {
         self.boot_ms as f64 / 1000.0 * self.fetch_gb_per_s
@@ -206,7 +208,7 @@
 }
 
 /// Machine types by name.
-pub type Types = BTreeMap<Arc<str>, MachineType>;
+pub type MachineTypes = BTreeMap<Arc<str>, MachineType>;
 
 #[cfg(test)]
 mod tests;
--- a/src/model/task_set.rs
+++ b/src/model/task_set.rs
@@ -1,6 +1,6 @@
 //! A set of task numbers of one job, as a bitmap: cheap for the largest arrays.
 
-use crate::constants::{DONE_CHUNK, DONE_PART};
+use crate::constants::{LEGACY_PROGRESS_RECORD_TASKS, PROGRESS_RECORD_TASKS};
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TaskSet {
@@ -77,7 +77,7 @@
 
     /// That part of the members as hexadecimal text, for the durable record.
     pub fn part_text(&self, part: u32) -> String {
-        let per = (DONE_PART / BITS) as usize;
+        let per = (PROGRESS_RECORD_TASKS / BITS) as usize;
         let from = (part as usize * per).min(self.words.len());
         let to = (from + per).min(self.words.len());
         let mut words = &self.words[from..to];
@@ -90,7 +90,9 @@
     /// Adds what [`TaskSet::part_text`] gave, from the number `base` on; numbers from `limit` on
     /// are left out. `None` if the text is not such a part.
     pub fn add_text(&mut self, base: u32, text: &str, limit: u32) -> Option<()> {
-        if !text.is_ascii() || !text.len().is_multiple_of(16) || text.len() as u32 * 4 > DONE_CHUNK
+        if !text.is_ascii()
+            || !text.len().is_multiple_of(16)
+            || text.len() as u32 * 4 > LEGACY_PROGRESS_RECORD_TASKS
         {
             return None;
         }
--- a/src/model/task_set/tests.rs
+++ b/src/model/task_set/tests.rs
@@ -3,13 +3,20 @@
 #[test]
 fn large_arrays_survive_their_chunks() {
     let mut set = TaskSet::default();
-    for i in [0, 63, 64, DONE_PART - 1, DONE_PART, 99_999] {
+    for i in [
+        0,
+        63,
+        64,
+        PROGRESS_RECORD_TASKS - 1,
+        PROGRESS_RECORD_TASKS,
+        99_999,
+    ] {
         assert!(set.insert(i));
         assert!(!set.insert(i));
     }
     let mut back = TaskSet::default();
-    for part in 0..=99_999 / DONE_PART {
-        back.add_text(part * DONE_PART, &set.part_text(part), 100_000)
+    for part in 0..=99_999 / PROGRESS_RECORD_TASKS {
+        back.add_text(part * PROGRESS_RECORD_TASKS, &set.part_text(part), 100_000)
             .unwrap();
     }
     assert_eq!(
--- a/src/node.rs
+++ b/src/node.rs
@@ -2,12 +2,12 @@
 
 use crate::api::{self, Api, Connections};
 use crate::cloud::CloudClient;
-use crate::constants as k;
-use crate::engine::{Command, Effect, Engine, Reply, ReplyId, View};
+use crate::constants;
+use crate::engine::{Command, Effect, Engine, EngineStatus, Reply, ReplyId};
 use crate::http::HttpClient;
 use crate::peer::{Announcement, Link, Message, PeerError, read_frame, write_frame};
 use crate::settings::Settings;
-use crate::store::{StoreClient, Urgency};
+use crate::store::{CallPriority, StoreClient};
 use crate::workers::WorkerClient;
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 
 /// Time of day, ms.
-pub fn wall_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.map_or(0, |t| t.as_millis() as u64)
 }
@@ -38,7 +38,7 @@
 impl Commands {
     /// With room for a request of each connection.
     fn new(connections: usize) -> (Self, mpsc::Receiver<Input>) {
-        let (queue, inputs) = mpsc::channel(connections + k::ENGINE_QUEUE);
+        let (queue, inputs) = mpsc::channel(connections + constants::ENGINE_QUEUE_COMMANDS);
         (
             Commands {
                 queue,
@@ -98,7 +98,7 @@
         let cloud = Arc::new(CloudClient::new(http, &settings));
         let workers = WorkerClient::default();
         let (commands, inputs) = Commands::new(settings.front_connections());
-        let (show, view) = watch::channel(View::default());
+        let (show, view) = watch::channel(EngineStatus::default());
         let link = |p: &crate::settings::Peer| Link::new(p.node.clone(), p.addr);
         let peers: Arc<Vec<Link>> = Arc::new(settings.peers.iter().map(link).collect());
         let seed = rand::random();
@@ -140,15 +140,18 @@
         self,
         mut engine: Engine,
         mut inputs: mpsc::Receiver<Input>,
-        show: watch::Sender<View>,
+        show: watch::Sender<EngineStatus>,
     ) {
         let started = Instant::now();
         let mut waiting: HashMap<ReplyId, oneshot::Sender<Reply>> = HashMap::new();
-        let mut batch = Vec::with_capacity(k::ENGINE_BATCH);
+        let mut batch = Vec::with_capacity(constants::MAX_ENGINE_BATCH);
         loop {
             // Either commands or the heartbeat; `recv_many` loses nothing when dropped.
-            let _ =
-                tokio::time::timeout(k::TICK, inputs.recv_many(&mut batch, k::ENGINE_BATCH)).await;
+            let _ = tokio::time::timeout(
+                constants::ENGINE_TICK,
+                inputs.recv_many(&mut batch, constants::MAX_ENGINE_BATCH),
+            )
+            .await;
             let mut commands = Vec::with_capacity(batch.len());
             for (command, tell) in batch.drain(..) {
                 if let Some((id, tell)) = tell {
@@ -157,7 +160,7 @@
                 commands.push(command);
             }
             let now = started.elapsed().as_millis() as u64;
-            for effect in engine.step(now, wall_ms(), commands) {
+            for effect in engine.step(now, unix_time_ms(), commands) {
                 self.carry_out(effect, &mut waiting);
             }
             show.send_replace(engine.view());
@@ -172,36 +175,44 @@
                     let _ = tell.send(reply);
                 }
             }
-            Effect::Store { op, call, urgent } => {
+            Effect::CallStore {
+                call_id,
+                call,
+                urgent,
+            } => {
                 let (store, commands) = (self.store.clone(), self.commands.clone());
-                let urgency = if urgent {
-                    Urgency::Lease
+                let priority = if urgent {
+                    CallPriority::Leadership
                 } else {
-                    Urgency::Engine
+                    CallPriority::Engine
                 };
                 tokio::spawn(async move {
-                    let result = store.call(&call, urgency).await;
-                    commands.send(Command::StoreDone { op, result }).await;
+                    let result = store.call(&call, priority).await;
+                    commands
+                        .send(Command::StoreCallCompleted { call_id, result })
+                        .await;
                 });
             }
-            Effect::Cloud { op, call } => {
+            Effect::CallCloud { call_id, call } => {
                 let (cloud, commands) = (self.cloud.clone(), self.commands.clone());
                 tokio::spawn(async move {
                     let result = cloud.call(&call).await;
-                    commands.send(Command::CloudDone { op, result }).await;
+                    commands
+                        .send(Command::CloudCallCompleted { call_id, result })
+                        .await;
                 });
             }
-            Effect::Orders { addr, orders } => self.workers.send(addr, orders),
+            Effect::SendCommands { address, commands } => self.workers.send(address, commands),
         }
     }
 }
 
-fn announcement(node: &str, view: &watch::Receiver<View>) -> Message {
+fn announcement(node: &str, view: &watch::Receiver<EngineStatus>) -> Message {
     let view = view.borrow();
     Message::Announce(Announcement {
         node: node.to_owned(),
         term: view.term,
-        store_ok: view.store_ok,
+        store_reachable: view.store_reachable,
     })
 }
 
@@ -210,15 +221,15 @@
     node: String,
     peers: Arc<Vec<Link>>,
     at: usize,
-    view: watch::Receiver<View>,
+    view: watch::Receiver<EngineStatus>,
     commands: Commands,
 ) {
-    let mut every = tokio::time::interval(k::PEER_EVERY);
+    let mut every = tokio::time::interval(constants::PEER_ANNOUNCE_INTERVAL);
     every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         every.tick().await;
         match peers[at].exchange(&announcement(&node, &view)).await {
-            Ok(Message::Announce(said)) => commands.send(Command::Announced(said)).await,
+            Ok(Message::Announce(said)) => commands.send(Command::PeerAnnounced(said)).await,
             Ok(_) => {}
             Err(e) => tracing::debug!(peer = peers[at].node, "peer: {e}"),
         }
@@ -228,16 +239,16 @@
 async fn serve_peers(
     node: String,
     back: TcpListener,
-    view: watch::Receiver<View>,
+    view: watch::Receiver<EngineStatus>,
     commands: Commands,
 ) {
-    let slots = Arc::new(Semaphore::new(k::PEER_CONNECTIONS));
+    let snapshots = Arc::new(Semaphore::new(constants::MAX_PEER_CONNECTIONS));
     loop {
-        let Ok(slot) = slots.clone().acquire_owned().await else {
+        let Ok(slot) = snapshots.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, addr)) = back.accept().await else {
-            tokio::time::sleep(k::PEER_EVERY).await;
+            tokio::time::sleep(constants::PEER_ANNOUNCE_INTERVAL).await;
             continue;
         };
         let (node, view, commands) = (node.clone(), view.clone(), commands.clone());
@@ -259,32 +270,38 @@
 async fn serve_peer(
     node: &str,
     mut stream: TcpStream,
-    view: &watch::Receiver<View>,
+    view: &watch::Receiver<EngineStatus>,
     commands: &Commands,
 ) -> Result<(), PeerError> {
     stream.set_nodelay(true)?;
     loop {
         // A peer that has been silent for several announcements is gone or cut off.
-        let message = tokio::time::timeout(10 * k::PEER_EVERY, read_frame(&mut stream))
-            .await
-            .unwrap_or(Err(PeerError::Timeout))?;
+        let message = tokio::time::timeout(
+            10 * constants::PEER_ANNOUNCE_INTERVAL,
+            read_frame(&mut stream),
+        )
+        .await
+        .unwrap_or(Err(PeerError::Timeout))?;
         let answer = match message {
             Message::Announce(said) => {
-                commands.send(Command::Announced(said)).await;
+                commands.send(Command::PeerAnnounced(said)).await;
                 announcement(node, view)
             }
             Message::Count { job } => {
-                let count = |reply| Command::Count {
+                let count = |reply| Command::CountTasks {
                     job: (&*job).into(),
                     reply,
                 };
                 match commands.ask(count).await {
-                    Some(Reply::Counts { done, running }) => Message::Counts { done, running },
+                    Some(Reply::TaskCounts { completed, running }) => Message::Counts {
+                        done: completed,
+                        running,
+                    },
                     _ => Message::Nothing,
                 }
             }
             Message::Cancelled { job } => {
-                commands.send(Command::Cancelled((&*job).into())).await;
+                commands.send(Command::JobCancelled((&*job).into())).await;
                 Message::Nothing
             }
             Message::Counts { .. } | Message::Nothing => Message::Nothing,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -4,7 +4,7 @@
 //! here decides anything on its own: what a peer says makes a superseded leader give way
 //! sooner, has cancelled tasks stopped sooner, and fills in numbers for display.
 
-use crate::constants as k;
+use crate::constants;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -18,7 +18,7 @@
     /// The term it leads with; 0 if it does not lead.
     pub term: u64,
     /// The state service has answered it lately.
-    pub store_ok: bool,
+    pub store_reachable: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
     Io(#[from] std::io::Error),
     #[error("frame of {0} bytes")]
     Length(usize),
-    #[error("version {0}, expected {expected}", expected = k::PEER_VERSION)]
+    #[error("version {0}, expected {expected}", expected = constants::PEER_VERSION)]
     Version(u8),
     #[error("undecodable frame: {0}")]
     Decode(#[from] postcard::Error),
@@ -57,12 +57,12 @@
 
 pub async fn read_frame(stream: &mut TcpStream) -> Result<Message, PeerError> {
     let length = stream.read_u32().await? as usize;
-    if length == 0 || length > k::PEER_FRAME_MAX {
+    if length == 0 || length > constants::MAX_PEER_FRAME_BYTES {
         return Err(PeerError::Length(length));
     }
     let mut frame = vec![0; length];
     stream.read_exact(&mut frame).await?;
-    if frame[0] != k::PEER_VERSION {
+    if frame[0] != constants::PEER_VERSION {
         return Err(PeerError::Version(frame[0]));
     }
     Ok(postcard::from_bytes(&frame[1..])?)
@@ -71,12 +71,12 @@
 pub async fn write_frame(stream: &mut TcpStream, message: &Message) -> Result<(), PeerError> {
     let body = postcard::to_stdvec(message)?;
     let length = body.len() + 1;
-    if length > k::PEER_FRAME_MAX {
+    if length > constants::MAX_PEER_FRAME_BYTES {
         return Err(PeerError::Length(length));
     }
     let mut frame = Vec::with_capacity(length + 4);
     frame.extend_from_slice(&(length as u32).to_be_bytes());
-    frame.push(k::PEER_VERSION);
+    frame.push(constants::PEER_VERSION);
     frame.extend_from_slice(&body);
     stream.write_all(&frame).await?;
     Ok(())
@@ -116,7 +116,7 @@
             *slot = Some(stream);
             Ok(answer)
         };
-        tokio::time::timeout(k::PEER_TIMEOUT, work)
+        tokio::time::timeout(constants::PEER_TIMEOUT, work)
             .await
             .unwrap_or(Err(PeerError::Timeout))
     }
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -14,18 +14,18 @@
     let said = Message::Announce(Announcement {
         node: "n1".into(),
         term: 7,
-        store_ok: true,
+        store_reachable: true,
     });
     write_frame(&mut a, &said).await.unwrap();
     assert_eq!(read_frame(&mut b).await.unwrap(), said);
-    a.write_all(&[0, 0, 0, 2, k::PEER_VERSION + 1, 0])
+    a.write_all(&[0, 0, 0, 2, constants::PEER_VERSION + 1, 0])
         .await
         .unwrap();
     assert!(matches!(
         read_frame(&mut b).await,
         Err(PeerError::Version(_))
     ));
-    a.write_all(&[0, 0, 0, 2, k::PEER_VERSION, 99])
+    a.write_all(&[0, 0, 0, 2, constants::PEER_VERSION, 99])
         .await
         .unwrap();
     assert!(matches!(
@@ -42,11 +42,11 @@
 /// Frames as the production version wrote them, to the byte.
 #[test]
 fn frames_of_the_production_version_are_read_and_written() {
-    assert_eq!(k::PEER_VERSION, 1, "the production version's");
+    assert_eq!(constants::PEER_VERSION, 1, "the production version's");
     let said = Message::Announce(Announcement {
         node: "n1".into(),
         term: 7,
-        store_ok: true,
+        store_reachable: true,
     });
     let job = || "run-7".to_owned();
     let (done, running) = (3, 300);
--- a/src/placement/consolidation/tests.rs
+++ b/src/placement/consolidation/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
-use crate::placement::tests::slot;
-use crate::wire::user::{Kind, tests::job as wire_job};
+use crate::placement::tests::snapshot;
+use crate::wire::user::{JobKind, tests::job as wire_job};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-fn replica() -> Spec {
-    Spec::read(&wire_job("run-1", Kind::Service, 4))
+fn replica() -> JobSpec {
+    JobSpec::from(&wire_job("run-1", JobKind::Service, 4))
 }
 
 /// A slot on which `count` replicas stand, with their image.
-fn holding(id: &str, zone: &str, count: u32) -> Slot {
-    let mut slot = slot(id, zone, 8.0);
+fn holding(id: &str, zone: &str, count: u32) -> MachineSnapshot {
+    let mut snapshot = snapshot(id, zone, 8.0);
     let spec = replica();
-    slot.images.push(spec.image.clone());
-    slot.take(&spec, count);
-    slot
+    snapshot.images.push(spec.image.clone());
+    snapshot.allocate(&spec, count);
+    snapshot
 }
 
-fn drained(slots: &[Slot], counts: &[(&str, usize)]) -> Option<MachineId> {
+fn drained(snapshots: &[MachineSnapshot], counts: &[(&str, usize)]) -> Option<MachineId> {
     let spec = replica();
     let candidates: Vec<Drainable<'_>> = counts
         .iter()
@@ -26,16 +26,20 @@
             replicas: vec![&spec; *count],
         })
         .collect();
-    choose(&candidates, slots)
+    choose(&candidates, snapshots)
 }
 
 /// After the last large jobs, services stood three to a machine of eight until the end of the day.
 #[test]
 fn the_emptiest_machine_gives_its_replicas_to_a_fuller_one() {
-    let slots = [holding("a", "east", 4), holding("b", "east", 3)];
+    let snapshots = [holding("a", "east", 4), holding("b", "east", 3)];
     let both = [("a", 4), ("b", 3)];
-    assert_eq!(drained(&slots, &both), Some("b".into()));
-    assert_eq!(drained(&slots, &both[..1]), None, "never to an emptier one");
+    assert_eq!(drained(&snapshots, &both), Some("b".into()));
+    assert_eq!(
+        drained(&snapshots, &both[..1]),
+        None,
+        "never to an emptier one"
+    );
 }
 
 /// A replica that had to fetch its image would be down for a minute, one in another zone would
@@ -50,34 +54,40 @@
     let no_room = [holding("a", "east", 6), holding("b", "east", 3)];
     assert_eq!(drained(&no_room, &[("b", 3)]), None);
     let mut no_services = [holding("a", "east", 5), holding("b", "east", 3)];
-    no_services[0].settled = Resources::default();
+    no_services[0].long_running = Resources::default();
     assert_eq!(drained(&no_services, &[("b", 3)]), None);
 }
 
 /// The choice as it was made before: every slot gone over, and copied, for each candidate.
-fn choose_plainly(candidates: &[Drainable<'_>], slots: &[Slot]) -> Option<MachineId> {
-    let slot_of = |one: &Drainable<'_>| slots.iter().find(|slot| slot.id == one.machine);
-    let find_room = |one: &Drainable<'_>, from: &Slot| {
-        let mut others: Vec<Slot> = slots
+fn choose_plainly(
+    candidates: &[Drainable<'_>],
+    snapshots: &[MachineSnapshot],
+) -> Option<MachineId> {
+    let slot_of =
+        |one: &Drainable<'_>| snapshots.iter().find(|snapshot| snapshot.id == one.machine);
+    let find_room = |one: &Drainable<'_>, from: &MachineSnapshot| {
+        let mut others: Vec<MachineSnapshot> = snapshots
             .iter()
-            .filter(|slot| slot.id != from.id && slot.zone == from.zone)
-            .filter(|slot| slot.settled != Resources::default() && share(slot) >= share(from))
+            .filter(|snapshot| snapshot.id != from.id && snapshot.zone == from.zone)
+            .filter(|snapshot| {
+                snapshot.long_running != Resources::default() && share(snapshot) >= share(from)
+            })
             .cloned()
             .collect();
         one.replicas.iter().all(|spec| {
-            let place = others.iter_mut().find(|slot| {
-                spec.need.fits_in(slot.room)
-                    && allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
-                    && (spec.image_gb <= 0.0 || slot.images.contains(&spec.image))
+            let place = others.iter_mut().find(|snapshot| {
+                spec.request.fits_in(snapshot.available)
+                    && allowed(spec, &snapshot.machine_type, &snapshot.zone, snapshot.spot)
+                    && (spec.image_gb <= 0.0 || snapshot.images.contains(&spec.image))
             });
-            place.map(|slot| slot.take(spec, 1)).is_some()
+            place.map(|snapshot| snapshot.allocate(spec, 1)).is_some()
         })
     };
     let drainable = candidates
         .iter()
         .filter_map(|one| Some((one, slot_of(one)?)));
     drainable
-        .filter(|(_, from)| share(from) <= DRAINED_SHARE_MAX)
+        .filter(|(_, from)| share(from) <= MAX_DRAINED_USE_PERMILLE)
         .filter(|(one, from)| find_room(one, from))
         .min_by_key(|(one, from)| (share(from), one.machine.clone()))
         .map(|(one, _)| one.machine.clone())
@@ -94,27 +104,27 @@
     for round in 0..500 {
         let machines = random.random_range(2..12);
         let counts: Vec<u32> = (0..machines).map(|_| random.random_range(1..=8)).collect();
-        let mut slots: Vec<Slot> = (0..)
+        let mut snapshots: Vec<MachineSnapshot> = (0..)
             .zip(&counts)
             .map(|(n, count)| holding(&format!("m{n:02}"), ["east", "west"][n % 2], *count))
             .collect();
-        for slot in &mut slots {
+        for snapshot in &mut snapshots {
             if random.random_bool(0.2) {
-                slot.images.clear();
+                snapshot.images.clear();
             }
         }
-        let candidates: Vec<Drainable<'_>> = slots
+        let candidates: Vec<Drainable<'_>> = snapshots
             .iter()
             .zip(&counts)
-            .map(|(slot, count)| Drainable {
-                machine: slot.id.clone(),
+            .map(|(snapshot, count)| Drainable {
+                machine: snapshot.id.clone(),
                 replicas: vec![&spec; *count as usize],
             })
             .collect();
-        let choice = choose(&candidates, &slots);
+        let choice = choose(&candidates, &snapshots);
         assert_eq!(
             choice,
-            choose_plainly(&candidates, &slots),
+            choose_plainly(&candidates, &snapshots),
             "seed {seed}, round {round}"
         );
         chosen += usize::from(choice.is_some());
