--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -7,27 +7,27 @@
 pub mod consolidation;
 pub mod preempt;
 
-use crate::constants::{MACHINE_TASKS, UNPLACED_MOST};
-use crate::model::{Job, JobId, MachineId, Resources, Spec};
+use crate::constants::{MAX_TASKS_PER_MACHINE, MAX_UNPLACED_TASKS};
+use crate::model::{Job, JobId, JobSpec, MachineId, Resources};
 use crate::settings::Limit;
-use crate::wire::user::Kind;
+use crate::wire::user::JobKind;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::Arc;
 
 /// A machine, real or expected, with its room.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Slot {
+pub struct MachineSnapshot {
     pub id: MachineId,
     pub machine_type: Arc<str>,
     pub zone: Arc<str>,
     pub spot: bool,
-    pub size: Resources,
-    pub room: Resources,
+    pub capacity: Resources,
+    pub available: Resources,
     /// How many more tasks its reports have room for.
-    pub free_tasks: u32,
+    pub free_task_slots: u32,
     /// What tasks hold that don't end by themselves (services).
-    pub settled: Resources,
+    pub long_running: Resources,
     /// Images that it has.
     pub images: Vec<Arc<str>>,
     /// Images that it is fetching, or will with the starts it was given, and what GB are left.
@@ -36,14 +36,14 @@
     pub boot_gb: f64,
 }
 
-impl Slot {
+impl MachineSnapshot {
     /// Takes the room of `count` tasks.
-    pub fn take(&mut self, spec: &Spec, count: u32) {
-        let need = spec.need.times(u64::from(count));
-        self.room = self.room - need;
-        self.free_tasks = self.free_tasks.saturating_sub(count);
-        if spec.kind == Kind::Service {
-            self.settled += need;
+    pub fn allocate(&mut self, spec: &JobSpec, count: u32) {
+        let request = spec.request.times(u64::from(count));
+        self.available = self.available - request;
+        self.free_task_slots = self.free_task_slots.saturating_sub(count);
+        if spec.kind == JobKind::Service {
+            self.long_running += request;
         }
         let there = spec.image_gb <= 0.0 || self.images.contains(&spec.image);
         if !there && !self.fetches(&spec.image) {
@@ -52,9 +52,9 @@
     }
 
     /// How many of `most` more tasks go here, given the job's tasks by zone.
-    pub fn takes(&self, spec: &Spec, zones: &BTreeMap<Arc<str>, u32>, most: u32) -> u32 {
-        most.min(self.room.count_of(spec.need))
-            .min(self.free_tasks)
+    pub fn max_tasks(&self, spec: &JobSpec, zones: &BTreeMap<Arc<str>, u32>, most: u32) -> u32 {
+        most.min(self.available.max_multiple(spec.request))
+            .min(self.free_task_slots)
             .min(zone_room(spec, zones, &self.zone))
     }
 
@@ -91,45 +91,45 @@
     pub id: &'a JobId,
     pub job: &'a Job,
     /// Fits into its team's guarantee together with the team's earlier unfinished jobs.
-    pub guaranteed: bool,
+    pub within_guarantee: bool,
     /// Has waited so long that it goes first, and that room is held back for it.
-    pub aged: bool,
+    pub starving: bool,
     /// Its placed tasks by zone.
     pub zones: BTreeMap<Arc<str>, u32>,
 }
 
 /// What each team uses and may use.
 #[derive(Debug, Clone, Default)]
-pub struct Teams {
+pub struct QuotaUsage {
     pub used: BTreeMap<Arc<str>, Resources>,
     pub limits: BTreeMap<Arc<str>, Limit>,
 }
 
-impl Teams {
+impl QuotaUsage {
     fn used(&self, team: &str) -> Resources {
         self.used.get(team).copied().unwrap_or_default()
     }
 
     /// Takes `need` for the team up to `most` times, as its limit allows; how often it did.
-    fn take(&mut self, team: &Arc<str>, need: Resources, most: u32) -> u32 {
+    fn take(&mut self, team: &Arc<str>, request: Resources, most: u32) -> u32 {
         let used = self.used(team);
         let left = self.limits.get(team).map(|limit| limit.less(used));
-        let times = left.map_or(0, |left| left.count_of(need).min(most));
+        let times = left.map_or(0, |left| left.max_multiple(request).min(most));
         if times > 0 {
             self.used
-                .insert(team.clone(), used + need.times(u64::from(times)));
+                .insert(team.clone(), used + request.times(u64::from(times)));
         }
         times
     }
 
-    fn give_back(&mut self, team: &Arc<str>, need: Resources) {
-        let used = self.used(team) - need;
+    fn give_back(&mut self, team: &Arc<str>, request: Resources) {
+        let used = self.used(team) - request;
         self.used.insert(team.clone(), used);
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Start {
+pub struct TaskStart {
     pub job: JobId,
     pub index: u32,
     pub machine: MachineId,
@@ -143,31 +143,31 @@
 }
 
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct RoundPlan {
     /// Starts of a round that one transaction writes.
-    pub starts: Vec<Start>,
+    pub starts: Vec<TaskStart>,
     /// Starts of one gang that is larger than that: a round of its own.
-    pub large_gang: Vec<Start>,
+    pub large_gang: Vec<TaskStart>,
     pub unplaced: Vec<Unplaced>,
 }
 
 /// Takes the room for a job's next tasks at their places; their starts.
 fn starts_at(
     id: &JobId,
-    spec: &Spec,
+    spec: &JobSpec,
     mut indices: impl Iterator<Item = u32>,
-    places: &[Place],
-    slots: &mut [Slot],
-) -> Vec<Start> {
+    places: &[Assignment],
+    snapshots: &mut [MachineSnapshot],
+) -> Vec<TaskStart> {
     let mut starts = Vec::new();
     for (at, count) in places {
-        let slot = &mut slots[*at];
-        slot.take(spec, *count);
+        let snapshot = &mut snapshots[*at];
+        snapshot.allocate(spec, *count);
         for index in indices.by_ref().take(*count as usize) {
-            starts.push(Start {
+            starts.push(TaskStart {
                 job: id.clone(),
                 index,
-                machine: slot.id.clone(),
+                machine: snapshot.id.clone(),
             });
         }
     }
@@ -179,11 +179,11 @@
 /// rest waiting for ever.
 pub fn order(candidates: &mut [Candidate<'_>]) {
     candidates.sort_by(|a, b| {
-        let key = |c: &Candidate<'_>| match c.aged {
-            true => (c.aged, None, Reverse(c.job.ready)),
+        let key = |c: &Candidate<'_>| match c.starving {
+            true => (c.starving, None, Reverse(c.job.ready_at)),
             false => {
-                let rank = Some((c.job.priority(), c.guaranteed));
-                (c.aged, rank, Reverse(c.job.due()))
+                let rank = Some((c.job.priority(), c.within_guarantee));
+                (c.starving, rank, Reverse(c.job.deadline()))
             }
         };
         key(b).cmp(&key(a)).then_with(|| a.id.cmp(b.id))
@@ -191,22 +191,22 @@
 }
 
 /// Whether the job may use this machine's type, zone and kind at all.
-pub fn allowed(spec: &Spec, machine_type: &Arc<str>, zone: &Arc<str>, spot: bool) -> bool {
-    (!spot || spec.spot)
+pub fn allowed(spec: &JobSpec, machine_type: &Arc<str>, zone: &Arc<str>, spot: bool) -> bool {
+    (!spot || spec.allows_spot)
         && spec
-            .types
+            .machine_types
             .as_ref()
             .is_none_or(|types| types.contains(machine_type))
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
 /// How many more tasks may be in `zone`, given the job's tasks by zone.
-pub fn zone_room(spec: &Spec, zones: &BTreeMap<Arc<str>, u32>, zone: &Arc<str>) -> u32 {
+pub fn zone_room(spec: &JobSpec, zones: &BTreeMap<Arc<str>, u32>, zone: &Arc<str>) -> u32 {
     let here = zones.get(zone).copied().unwrap_or(0);
     let elsewhere = zones.iter().any(|(z, n)| z != zone && *n > 0);
-    match spec.one_zone && elsewhere {
+    match spec.single_zone && elsewhere {
         true => 0,
-        false => spec.zone_most().saturating_sub(here),
+        false => spec.max_tasks_per_zone().saturating_sub(here),
     }
 }
 
@@ -224,12 +224,12 @@
 /// Plans a round within `bounds`; changes `slots` (their order, too) and `teams` to what is left.
 pub fn plan(
     candidates: &[Candidate<'_>],
-    slots: &mut Vec<Slot>,
-    teams: &mut Teams,
+    snapshots: &mut Vec<MachineSnapshot>,
+    quotas: &mut QuotaUsage,
     bounds: Bounds,
-) -> Plan {
-    let mut plan = Plan::default();
-    let open = with_room_first(slots, candidates.iter().map(|c| c.job.spec.need));
+) -> RoundPlan {
+    let mut plan = RoundPlan::default();
+    let open = with_room_first(snapshots, candidates.iter().map(|c| c.job.spec.request));
     let mut jobs = 0;
     for candidate in candidates {
         let Candidate { id, job, zones, .. } = candidate;
@@ -239,22 +239,30 @@
             true => bounds.starts.saturating_sub(before),
             false => 0,
         };
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             let large = job.spec.tasks as usize > bounds.starts;
             let left = match large {
                 true if bounds.large_gang && plan.large_gang.is_empty() => usize::MAX,
                 true => 0,
                 false => left,
             };
-            let fits = plan_gang(id, job, &mut slots[..open], teams, left, &mut plan);
+            let fits = plan_gang(id, job, &mut snapshots[..open], quotas, left, &mut plan);
             if large {
                 plan.large_gang.extend(plan.starts.drain(before..));
             }
-            if !fits && candidate.aged {
-                hold_back(&job.spec, slots);
+            if !fits && candidate.starving {
+                hold_back(&job.spec, snapshots);
             }
         } else {
-            plan_tasks(id, job, zones, &mut slots[..open], teams, left, &mut plan);
+            plan_tasks(
+                id,
+                job,
+                zones,
+                &mut snapshots[..open],
+                quotas,
+                left,
+                &mut plan,
+            );
         }
         jobs += usize::from(plan.starts.len() > before);
     }
@@ -264,26 +272,31 @@
 /// The least room of machines that a round can use: those in which no candidate's task fits are left
 /// out, unless room is held back for a gang, for which full machines count as well.
 pub fn least_room(candidates: &[Candidate<'_>]) -> Resources {
-    let holds_back = |c: &Candidate<'_>| c.aged && c.job.spec.kind == Kind::Gang;
+    let holds_back = |c: &Candidate<'_>| c.starving && c.job.spec.kind == JobKind::Gang;
     if candidates.iter().any(holds_back) {
         return Resources::default();
     }
-    let needs = candidates.iter().map(|c| c.job.spec.need);
-    needs.reduce(Resources::least_of).unwrap_or_default()
+    let requests = candidates.iter().map(|c| c.job.spec.request);
+    requests
+        .reduce(Resources::component_min)
+        .unwrap_or_default()
 }
 
 /// Brings the slots in which the least of `needs` has room to the front; how many they are. The
 /// others, most of a busy fleet, need not be looked at for each job.
-fn with_room_first(slots: &mut Vec<Slot>, needs: impl Iterator<Item = Resources>) -> usize {
-    let Some(least) = needs.reduce(Resources::least_of) else {
+fn with_room_first(
+    snapshots: &mut Vec<MachineSnapshot>,
+    requests: impl Iterator<Item = Resources>,
+) -> usize {
+    let Some(least) = requests.reduce(Resources::component_min) else {
         return 0;
     };
-    let (open, full): (Vec<Slot>, Vec<Slot>) = std::mem::take(slots)
+    let (open, full): (Vec<MachineSnapshot>, Vec<MachineSnapshot>) = std::mem::take(snapshots)
         .into_iter()
-        .partition(|slot| least.fits_in(slot.room));
+        .partition(|snapshot| least.fits_in(snapshot.available));
     let count = open.len();
-    slots.extend(open);
-    slots.extend(full);
+    snapshots.extend(open);
+    snapshots.extend(full);
     count
 }
 
@@ -291,74 +304,82 @@
     id: &JobId,
     job: &Job,
     zones: &BTreeMap<Arc<str>, u32>,
-    slots: &mut [Slot],
-    teams: &mut Teams,
+    snapshots: &mut [MachineSnapshot],
+    quotas: &mut QuotaUsage,
     left: usize,
-    plan: &mut Plan,
+    plan: &mut RoundPlan,
 ) {
     let spec = &job.spec;
     let left = left.min(u32::MAX as usize) as u32;
     // No need to know by how much a huge array exceeds any fleet.
     let waiting = job.pending.len() as u32;
-    let most = waiting.min(left.saturating_add(UNPLACED_MOST));
-    let wanted = teams.take(&spec.team, spec.need, most);
-    let places = places(spec, zones, slots, wanted.min(left), None);
+    let most = waiting.min(left.saturating_add(MAX_UNPLACED_TASKS));
+    let wanted = quotas.take(&spec.team, spec.request, most);
+    let places = places(spec, zones, snapshots, wanted.min(left), None);
     let unplaced = wanted - tasks_of(&places);
-    let starts = starts_at(id, spec, job.pending.iter(), &places, slots);
+    let starts = starts_at(id, spec, job.pending.iter(), &places, snapshots);
     plan.starts.extend(starts);
     if unplaced > 0 {
-        teams.give_back(&spec.team, spec.need.times(u64::from(unplaced)));
+        quotas.give_back(&spec.team, spec.request.times(u64::from(unplaced)));
         plan.unplaced.push(Unplaced {
             job: id.clone(),
-            tasks: unplaced.min(UNPLACED_MOST),
+            tasks: unplaced.min(MAX_UNPLACED_TASKS),
         });
     }
 }
 
 /// The zones with machines in them.
-fn zones(slots: &[Slot]) -> BTreeSet<&Arc<str>> {
-    slots.iter().map(|s| &s.zone).collect()
+fn zones(snapshots: &[MachineSnapshot]) -> BTreeSet<&Arc<str>> {
+    snapshots.iter().map(|s| &s.zone).collect()
 }
 
 /// Sets room aside for a gang that has waited too long: nothing that comes after it in the order
 /// starts on the machines of the zone that are nearest to having room for all of it. (Smaller
 /// work took each machine as it came free, and a gang of many whole machines never began.)
-fn hold_back(spec: &Spec, slots: &mut [Slot]) {
+fn hold_back(spec: &JobSpec, snapshots: &mut [MachineSnapshot]) {
     let choice = |only: Option<&Arc<str>>| {
-        let mut fitting: Vec<(Resources, usize)> = slots
+        let mut fitting: Vec<(Resources, usize)> = snapshots
             .iter()
             .enumerate()
-            .filter(|(_, slot)| {
-                only.is_none_or(|zone| slot.zone == *zone)
-                    && allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
-                    && spec.need.fits_in(slot.size - slot.settled)
+            .filter(|(_, snapshot)| {
+                only.is_none_or(|zone| snapshot.zone == *zone)
+                    && allowed(spec, &snapshot.machine_type, &snapshot.zone, snapshot.spot)
+                    && spec
+                        .request
+                        .fits_in(snapshot.capacity - snapshot.long_running)
+            })
+            .map(|(at, snapshot)| {
+                (
+                    snapshot.capacity - snapshot.long_running - snapshot.available,
+                    at,
+                )
             })
-            .map(|(at, slot)| (slot.size - slot.settled - slot.room, at))
             .collect();
         // Those with the least to end first.
-        fitting.sort_by_key(|(ending, at)| (ending.share_of(slots[*at].size), *at));
+        fitting.sort_by_key(|(ending, at)| (ending.permille_of(snapshots[*at].capacity), *at));
         let mut left = spec.tasks;
         let (mut held, mut ending) = (Vec::new(), 0);
         for (still, at) in fitting {
             if left == 0 {
                 break;
             }
-            let fits = (slots[at].size - slots[at].settled).count_of(spec.need);
-            left = left.saturating_sub(fits.min(MACHINE_TASKS));
-            ending += still.share_of(slots[at].size);
+            let fits =
+                (snapshots[at].capacity - snapshots[at].long_running).max_multiple(spec.request);
+            left = left.saturating_sub(fits.min(MAX_TASKS_PER_MACHINE));
+            ending += still.permille_of(snapshots[at].capacity);
             held.push(at);
         }
         (left == 0).then_some((ending, held))
     };
-    let best = match spec.one_zone {
-        true => zones(slots)
+    let best = match spec.single_zone {
+        true => zones(snapshots)
             .into_iter()
             .filter_map(|zone| choice(Some(zone)))
             .min_by_key(|(ending, _)| *ending),
         false => choice(None),
     };
     for at in best.into_iter().flat_map(|(_, held)| held) {
-        slots[at].room = Resources::default();
+        snapshots[at].available = Resources::default();
     }
 }
 
@@ -366,23 +387,23 @@
 fn plan_gang(
     id: &JobId,
     job: &Job,
-    slots: &mut [Slot],
-    teams: &mut Teams,
+    snapshots: &mut [MachineSnapshot],
+    quotas: &mut QuotaUsage,
     left: usize,
-    plan: &mut Plan,
+    plan: &mut RoundPlan,
 ) -> bool {
     let spec = &job.spec;
-    if teams.take(&spec.team, spec.whole(), 1) == 0 {
+    if quotas.take(&spec.team, spec.total_request(), 1) == 0 {
         // Its team's own work is in the way, not a lack of room.
         return true;
     }
     let full = spec.tasks as usize > left;
     let places = match full {
         true => None,
-        false => gang_places(spec, slots),
+        false => gang_places(spec, snapshots),
     };
     let Some(places) = places else {
-        teams.give_back(&spec.team, spec.whole());
+        quotas.give_back(&spec.team, spec.total_request());
         plan.unplaced.push(Unplaced {
             job: id.clone(),
             tasks: spec.tasks,
@@ -390,37 +411,41 @@
         return full;
     };
     plan.starts
-        .extend(starts_at(id, spec, 0..spec.tasks, &places, slots));
+        .extend(starts_at(id, spec, 0..spec.tasks, &places, snapshots));
     true
 }
 
 /// Places for all tasks of a gang, in one zone if it asks for that.
-fn gang_places(spec: &Spec, slots: &[Slot]) -> Option<Vec<Place>> {
+fn gang_places(spec: &JobSpec, snapshots: &[MachineSnapshot]) -> Option<Vec<Assignment>> {
     let none = BTreeMap::new();
     let try_in = |only| {
-        let places = places(spec, &none, slots, spec.tasks, only);
+        let places = places(spec, &none, snapshots, spec.tasks, only);
         (tasks_of(&places) == spec.tasks).then_some(places)
     };
-    if !spec.one_zone {
+    if !spec.single_zone {
         return try_in(None);
     }
-    let emptiness = |places: &Vec<Place>| -> u64 {
-        let of = |(at, count): &Place| {
-            let slot = &slots[*at];
-            (1000 - (slot.size - slot.room).share_of(slot.size).min(1000)) * u64::from(*count)
+    let emptiness = |places: &Vec<Assignment>| -> u64 {
+        let of = |(at, count): &Assignment| {
+            let snapshot = &snapshots[*at];
+            (1000
+                - (snapshot.capacity - snapshot.available)
+                    .permille_of(snapshot.capacity)
+                    .min(1000))
+                * u64::from(*count)
         };
         places.iter().map(of).sum()
     };
-    zones(slots)
+    zones(snapshots)
         .into_iter()
         .filter_map(|zone| try_in(Some(zone)))
         .min_by_key(emptiness)
 }
 
 /// A slot by its position, and how many tasks go there.
-pub type Place = (usize, u32);
+pub type Assignment = (usize, u32);
 
-pub fn tasks_of(places: &[Place]) -> u32 {
+pub fn tasks_of(places: &[Assignment]) -> u32 {
     places.iter().map(|(_, count)| count).sum()
 }
 
@@ -433,47 +458,48 @@
 /// it is fuller, and the image is on its way. So the slots are gone over once a job. (Once a
 /// task, at 1,300 machines, took all of a leader's processor.)
 pub fn places(
-    spec: &Spec,
+    spec: &JobSpec,
     zones: &BTreeMap<Arc<str>, u32>,
-    slots: &[Slot],
+    snapshots: &[MachineSnapshot],
     tasks: u32,
     only: Option<&Arc<str>>,
-) -> Vec<Place> {
+) -> Vec<Assignment> {
     let mut left = tasks;
     let mut places = Vec::new();
     if left == 0 {
         return places;
     }
-    let fits = |slot: &Slot| {
-        spec.need.fits_in(slot.room)
-            && only.is_none_or(|zone| slot.zone == *zone)
-            && allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
-            && (spec.image_gb <= 0.0 || slot.is_soon(&spec.image))
+    let fits = |snapshot: &MachineSnapshot| {
+        spec.request.fits_in(snapshot.available)
+            && only.is_none_or(|zone| snapshot.zone == *zone)
+            && allowed(spec, &snapshot.machine_type, &snapshot.zone, snapshot.spot)
+            && (spec.image_gb <= 0.0 || snapshot.is_soon(&spec.image))
     };
-    let rank = |slot: &Slot| {
-        let full = (slot.size - slot.room + spec.need).share_of(slot.size);
+    let rank = |snapshot: &MachineSnapshot| {
+        let full =
+            (snapshot.capacity - snapshot.available + spec.request).permille_of(snapshot.capacity);
         // Ordinary machines are kept for jobs that may use no others.
-        let dear = spec.spot && !slot.spot;
+        let dear = spec.allows_spot && !snapshot.spot;
         // What stays for long stands together, or it keeps many machines half empty when the
         // work that ends has gone.
-        let stays = slot.settled != Resources::default();
-        let mixes = stays != (spec.kind == Kind::Service);
-        (dear, slot.image_rank(&spec.image), mixes, Reverse(full))
+        let stays = snapshot.long_running != Resources::default();
+        let mixes = stays != (spec.kind == JobKind::Service);
+        (dear, snapshot.image_rank(&spec.image), mixes, Reverse(full))
     };
-    let mut best: BinaryHeap<_> = slots
+    let mut best: BinaryHeap<_> = snapshots
         .iter()
         .enumerate()
-        .filter(|(_, slot)| fits(slot))
-        .map(|(at, slot)| Reverse((rank(slot), at)))
+        .filter(|(_, snapshot)| fits(snapshot))
+        .map(|(at, snapshot)| Reverse((rank(snapshot), at)))
         .collect();
     let mut zones = zones.clone();
     while left > 0
         && let Some(Reverse((_, at))) = best.pop()
     {
-        let slot = &slots[at];
-        let count = slot.takes(spec, &zones, left);
+        let snapshot = &snapshots[at];
+        let count = snapshot.max_tasks(spec, &zones, left);
         if count > 0 {
-            *zones.entry(slot.zone.clone()).or_insert(0) += count;
+            *zones.entry(snapshot.zone.clone()).or_insert(0) += count;
             places.push((at, count));
             left -= count;
         }
--- a/src/placement/preempt.rs
+++ b/src/placement/preempt.rs
@@ -3,8 +3,8 @@
 //! Work gives way to work of higher priority; and work that a team runs beyond its guarantee
 //! gives way, whatever its priority, to a job within another team's guarantee.
 
-use super::{Candidate, Slot, allowed, zone_room};
-use crate::constants::SETTLED_MS;
+use super::{Candidate, MachineSnapshot, allowed, zone_room};
+use crate::constants::MIN_RUN_BEFORE_PREEMPTION_MS;
 use crate::model::{Job, JobId, MachineId, Ms, Placement, Resources, TaskId};
 use crate::wire::user::Priority;
 use std::collections::BTreeMap;
@@ -16,22 +16,22 @@
     pub machine: MachineId,
     pub job: &'a Job,
     /// Its job is within its team's guarantee.
-    pub guaranteed: bool,
+    pub within_guarantee: bool,
 }
 
 /// Whether `victim` may be stopped for `job`.
 fn gives_way(victim: &Victim<'_>, candidate: &Candidate<'_>) -> bool {
     let (theirs, ours) = (victim.job, candidate.job);
     let others = theirs.spec.team != ours.spec.team;
-    let borrowed = candidate.guaranteed && !victim.guaranteed && others;
+    let borrowed = candidate.within_guarantee && !victim.within_guarantee && others;
     theirs.priority() < ours.priority() || borrowed
 }
 
 /// What stopping a task costs: first the priority of the work, then what it loses.
 fn loss(victim: &Victim<'_>) -> (Priority, bool, usize) {
-    let saves = victim.job.spec.checkpoint_ms > 0;
+    let saves = victim.job.spec.checkpoint_interval_ms > 0;
     let with_it = if victim.job.is_gang() {
-        victim.job.live.len()
+        victim.job.placements.len()
     } else {
         1
     };
@@ -42,7 +42,7 @@
 pub fn victims(
     candidate: &Candidate<'_>,
     tasks: u32,
-    slots: &[Slot],
+    snapshots: &[MachineSnapshot],
     running: &[Victim<'_>],
 ) -> Vec<TaskId> {
     let spec = &candidate.job.spec;
@@ -52,23 +52,23 @@
     }
     let mut zones = candidate.zones.clone();
     let mut stopped = Vec::new();
-    let mut machines: Vec<(&Slot, Vec<&Victim<'_>>, Resources)> = Vec::new();
-    for slot in slots {
-        let mut victims = by_machine.remove(&slot.id).unwrap_or_default();
+    let mut machines: Vec<(&MachineSnapshot, Vec<&Victim<'_>>, Resources)> = Vec::new();
+    for snapshot in snapshots {
+        let mut victims = by_machine.remove(&snapshot.id).unwrap_or_default();
         victims.sort_by_key(|v| std::cmp::Reverse(loss(v)));
-        machines.push((slot, victims, slot.room));
+        machines.push((snapshot, victims, snapshot.available));
     }
     for _ in 0..tasks {
         // The machine where the least is lost for one more task.
         let choice = machines
             .iter()
             .enumerate()
-            .filter(|(_, (slot, _, _))| {
-                allowed(spec, &slot.machine_type, &slot.zone, slot.spot)
-                    && zone_room(spec, &zones, &slot.zone) > 0
+            .filter(|(_, (snapshot, _, _))| {
+                allowed(spec, &snapshot.machine_type, &snapshot.zone, snapshot.spot)
+                    && zone_room(spec, &zones, &snapshot.zone) > 0
             })
             .filter_map(|(at, (_, victims, room))| {
-                let count = needed(spec.need, *room, victims)?;
+                let count = needed(spec.request, *room, victims)?;
                 let dearest = victims.iter().rev().take(count).map(|v| loss(v)).max();
                 Some(((dearest, count), at))
             })
@@ -76,25 +76,25 @@
         let Some(((_, count), at)) = choice else {
             return Vec::new();
         };
-        let (slot, victims, room) = &mut machines[at];
+        let (snapshot, victims, room) = &mut machines[at];
         for _ in 0..count {
             if let Some(victim) = victims.pop() {
-                *room += victim.job.spec.need;
+                *room += victim.job.spec.request;
                 stopped.push(victim.task.clone());
             }
         }
-        *room = *room - spec.need;
-        *zones.entry(slot.zone.clone()).or_insert(0) += 1;
+        *room = *room - spec.request;
+        *zones.entry(snapshot.zone.clone()).or_insert(0) += 1;
     }
     stopped
 }
 
 /// How many of the victims, the cheapest (last) first, have to go for `need` to fit.
-fn needed(need: Resources, mut room: Resources, victims: &[&Victim<'_>]) -> Option<usize> {
+fn needed(request: Resources, mut room: Resources, victims: &[&Victim<'_>]) -> Option<usize> {
     let mut count = 0;
     let mut rest = victims.iter().rev();
-    while !need.fits_in(room) {
-        room += rest.next()?.job.spec.need;
+    while !request.fits_in(room) {
+        room += rest.next()?.job.spec.request;
         count += 1;
     }
     Some(count)
@@ -103,15 +103,17 @@
 /// Jobs with their placed tasks as possible victims.
 pub fn running<'a>(
     jobs: impl Iterator<Item = (&'a JobId, &'a Job)>,
-    guaranteed: impl Fn(&JobId) -> bool,
+    within_guarantee: impl Fn(&JobId) -> bool,
     now: Ms,
 ) -> Vec<Victim<'a>> {
     let mut victims = Vec::new();
     for (id, job) in jobs.filter(|(_, job)| job.is_open()) {
-        let guaranteed = guaranteed(id);
+        let within_guarantee = within_guarantee(id);
         // A task that has just started has gained nothing yet and its start would not count.
-        let settled = |p: &Placement| p.stop.is_none() && now >= p.since + SETTLED_MS;
-        for (index, placement) in job.live.iter().filter(|(_, p)| settled(p)) {
+        let settled = |p: &Placement| {
+            p.stop_request.is_none() && now >= p.stage_since + MIN_RUN_BEFORE_PREEMPTION_MS
+        };
+        for (index, placement) in job.placements.iter().filter(|(_, p)| settled(p)) {
             victims.push(Victim {
                 task: TaskId {
                     job: id.clone(),
@@ -119,7 +121,7 @@
                 },
                 machine: placement.machine.clone(),
                 job,
-                guaranteed,
+                within_guarantee,
             });
         }
     }
--- a/src/placement/preempt/tests.rs
+++ b/src/placement/preempt/tests.rs
@@ -1,51 +1,51 @@
 use super::*;
-use crate::model::{Phase, Spec, Stage};
-use crate::wire::user::{Kind, tests::job as wire_job};
+use crate::model::{JobPhase, JobSpec, PlacementStage};
+use crate::wire::user::{JobKind, tests::job as wire_job};
 use crate::wire::worker::TaskState;
 
 fn job(team: &str, priority: Priority, on: &[&str]) -> Job {
-    let mut wire = wire_job("run-1", Kind::Array, 4);
+    let mut wire = wire_job("run-1", JobKind::Array, 4);
     wire.team = team.into();
     wire.priority = priority;
     wire.gpus = 2.0;
-    let mut job = Job::new(Spec::read(&wire), 1, 0, Phase::Open, 0);
+    let mut job = Job::new(JobSpec::from(&wire), 1, 0, JobPhase::Open, 0);
     for (index, machine) in (0..).zip(on) {
         let placement = Placement {
             machine: (*machine).into(),
             attempt: 1,
-            stage: Stage::Up(TaskState::Running),
-            since: 0,
-            stop: None,
+            stage: PlacementStage::Reported(TaskState::Running),
+            stage_since: 0,
+            stop_request: None,
         };
-        job.live.insert(index, placement);
+        job.placements.insert(index, placement);
     }
     job
 }
 
-fn stopped(ours: &Job, guaranteed: bool, theirs: &[(&str, &Job, bool)]) -> Vec<String> {
-    let mut slots = ["a", "b"].map(|id| crate::placement::tests::slot(id, "east", 4.0));
+fn stopped(ours: &Job, within_guarantee: bool, theirs: &[(&str, &Job, bool)]) -> Vec<String> {
+    let mut snapshots = ["a", "b"].map(|id| crate::placement::tests::snapshot(id, "east", 4.0));
     let ids: Vec<JobId> = theirs.iter().map(|(id, ..)| (*id).into()).collect();
     for (_, job, _) in theirs {
-        for placement in job.live.values() {
-            let slot = slots
+        for placement in job.placements.values() {
+            let snapshot = snapshots
                 .iter_mut()
                 .find(|s| s.id == placement.machine)
                 .unwrap();
-            slot.room = slot.room - job.spec.need;
+            snapshot.available = snapshot.available - job.spec.request;
         }
     }
     let jobs = ids.iter().zip(theirs.iter().map(|(_, job, _)| *job));
     let within = |id: &JobId| theirs.iter().any(|(name, _, g)| *g && *name == &*id.0);
-    let running = running(jobs, within, SETTLED_MS);
+    let running = running(jobs, within, MIN_RUN_BEFORE_PREEMPTION_MS);
     let id = JobId::from("run-0");
     let candidate = Candidate {
         id: &id,
         job: ours,
-        guaranteed,
-        aged: false,
+        within_guarantee,
+        starving: false,
         zones: BTreeMap::new(),
     };
-    victims(&candidate, 1, &slots, &running)
+    victims(&candidate, 1, &snapshots, &running)
         .iter()
         .map(ToString::to_string)
         .collect()
--- a/src/settings/capacity.rs
+++ b/src/settings/capacity.rs
@@ -2,7 +2,7 @@
 //! how large a fleet that leaves room for. The sum is worked out in `docs/design.md`.
 
 use super::Settings;
-use crate::constants as k;
+use crate::constants;
 
 /// Memory of a node at its worst, bytes. All but the fleet's part is bounded by the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,11 +23,13 @@
     /// The need under these settings.
     pub fn of(settings: &Settings) -> Self {
         MemoryNeed {
-            start: k::START_BYTES_HELD,
-            connections: settings.front_connections() * k::CONNECTION_BYTES_HELD,
-            bodies: settings.body_budget() * k::BODY_DECODED_FACTOR,
-            answers: k::ANSWERS_HELD * k::ANSWER_USUAL_MAX * k::ANSWER_DECODED_FACTOR,
-            caches: k::FINAL_CACHE * k::FINAL_BYTES_HELD,
+            start: constants::PROCESS_BASE_BYTES,
+            connections: settings.front_connections() * constants::CONNECTION_BYTES,
+            bodies: settings.body_budget() * constants::BODY_DECODED_FACTOR,
+            answers: constants::MAX_LARGE_RESPONSES
+                * constants::USUAL_MAX_RESPONSE_BYTES
+                * constants::RESPONSE_DECODED_FACTOR,
+            caches: constants::FINAL_STATE_CACHE_ENTRIES * constants::FINAL_STATE_BYTES,
         }
     }
 
@@ -41,7 +43,7 @@
     /// How many machines, with their tasks and jobs, the memory that is left carries.
     pub fn machines_carried(&self) -> usize {
         let memory = (self.cluster.machine_limits.mem_mb * 1e6) as usize;
-        memory.saturating_sub(MemoryNeed::of(self).total()) / k::MACHINE_BYTES_HELD
+        memory.saturating_sub(MemoryNeed::of(self).total()) / constants::MACHINE_BYTES
     }
 
     /// What operators should know of settings that are allowed, but ask for more than was measured to
@@ -49,21 +51,22 @@
     pub fn warnings(&self) -> Vec<String> {
         let mut warnings = Vec::new();
         let limits = &self.cluster.machine_limits;
-        let least = MemoryNeed::of(self).total() + k::FLEET_WARNED * k::MACHINE_BYTES_HELD;
+        let least = MemoryNeed::of(self).total()
+            + constants::MIN_EXPECTED_MACHINES * constants::MACHINE_BYTES;
         let least_mb = (least as f64 / 1e6).ceil();
         if limits.mem_mb < least_mb {
             warnings.push(format!(
                 "cluster.machine_limits.mem_mb: {} given; {} connections and {} machines may take {least_mb}",
-                limits.mem_mb, limits.max_connections, k::FLEET_WARNED
+                limits.mem_mb, limits.max_connections, constants::MIN_EXPECTED_MACHINES
             ));
         }
         if let Some(share) = limits
             .cpu_share
-            .filter(|share| *share < k::CPU_SHARE_MEASURED)
+            .filter(|share| *share < constants::MIN_MEASURED_CPU_SHARE)
         {
             warnings.push(format!(
                 "cluster.machine_limits.cpu_share: {share} given; less than {} was not measured",
-                k::CPU_SHARE_MEASURED
+                constants::MIN_MEASURED_CPU_SHARE
             ));
         }
         warnings.extend(self.fleet_warning());
--- a/src/settings/cluster.rs
+++ b/src/settings/cluster.rs
@@ -1,17 +1,52 @@
 //! The cluster's part of the platform's settings.
 
 use super::Team;
-use crate::constants as k;
+use crate::constants;
 use serde::Deserialize;
 
-/// One aim of the users; kinds this program does not know are kept but not used.
+/// What a service-level objective measures.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ObjectiveKind {
+    /// The time until a job's tasks run.
+    Wait,
+    /// Anything that no decision of this program depends on.
+    Other,
+}
+
+/// A service-level objective of the users.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Objective {
-    pub kind: String,
-    #[serde(default)]
+#[serde(from = "Objective")]
+pub struct ServiceLevelObjective {
+    /// What it measures.
+    pub kind: ObjectiveKind,
+    /// Class of the jobs that it is about; all if absent.
     pub class: Option<String>,
+    /// Time within which it is met, ms, if it is about a time.
+    pub within_ms: Option<u64>,
+}
+
+/// A service-level objective as the platform's file has it. Its name stands in error texts.
+#[derive(Debug, Clone, Deserialize)]
+struct Objective {
+    kind: String,
     #[serde(default)]
-    pub within_s: Option<f64>,
+    class: Option<String>,
+    #[serde(default)]
+    within_s: Option<f64>,
+}
+
+impl From<Objective> for ServiceLevelObjective {
+    fn from(objective: Objective) -> Self {
+        let kind = match objective.kind.as_str() {
+            "wait" => ObjectiveKind::Wait,
+            _ => ObjectiveKind::Other,
+        };
+        ServiceLevelObjective {
+            kind,
+            class: objective.class,
+            within_ms: objective.within_s.map(|s| (s * 1000.0) as u64),
+        }
+    }
 }
 
 /// How workers report and how long their tasks may run unheard, s.
@@ -73,7 +108,7 @@
     #[serde(default)]
     pub teams: Vec<Team>,
     #[serde(default)]
-    pub objectives: Vec<Objective>,
+    pub objectives: Vec<ServiceLevelObjective>,
     pub workers: Workers,
     pub state: State,
     pub cloud: Cloud,
@@ -96,8 +131,8 @@
 impl Default for MachineLimits {
     fn default() -> Self {
         MachineLimits {
-            max_connections: k::DEFAULT_CONNECTIONS,
-            mem_mb: k::DEFAULT_MEMORY_MB,
+            max_connections: constants::DEFAULT_CONNECTIONS,
+            mem_mb: constants::DEFAULT_MEMORY_MB,
             cpu_share: None,
         }
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -11,12 +11,14 @@
 mod validation;
 
 pub use capacity::MemoryNeed;
-pub use cluster::{Cloud, Cluster, MachineLimits, Objective, State, Workers};
+pub use cluster::{
+    Cloud, Cluster, MachineLimits, ObjectiveKind, ServiceLevelObjective, State, Workers,
+};
 pub use operator::Operator;
 pub use team::{Limit, Team};
 pub use timing::Timing;
 
-use crate::constants as k;
+use crate::constants;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -121,7 +123,8 @@
     /// Bytes that the bodies of requests may take at one time.
     pub fn body_budget(&self) -> usize {
         let memory = self.cluster.machine_limits.mem_mb * 1e6;
-        (memory as usize / k::BODIES_MEMORY_PART).max(MIN_BODIES * k::BODY_MAX)
+        (memory as usize / constants::BODY_MEMORY_DIVISOR)
+            .max(MIN_BODIES * constants::MAX_BODY_BYTES)
     }
 
     /// Largest record this service writes, in bytes of its JSON form.
@@ -134,8 +137,10 @@
 const MIN_BODIES: usize = 4;
 
 /// Sockets that a node uses at most beside those of `front`.
-const OWN_CONNECTIONS: usize =
-    k::USER_CALLS + k::WORKER_CALLS + k::PEER_CONNECTIONS + 4 * k::POOL_IDLE;
+const OWN_CONNECTIONS: usize = constants::MAX_USER_CALLS
+    + constants::MAX_WORKER_CALLS
+    + constants::MAX_PEER_CONNECTIONS
+    + 4 * constants::MAX_IDLE_CONNECTIONS;
 
 fn read(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -78,7 +78,10 @@
     let larger = SAMPLE.replace("= 1817", "= 12000");
     assert_eq!(front(&larger), 12_000 - OWN_CONNECTIONS);
     let (without, _) = SAMPLE.split_once("[cluster.machine_limits]").unwrap();
-    assert_eq!(front(without), k::DEFAULT_CONNECTIONS - OWN_CONNECTIONS);
+    assert_eq!(
+        front(without),
+        constants::DEFAULT_CONNECTIONS - OWN_CONNECTIONS
+    );
     let smaller = SAMPLE.replace("= 1817", "= 200");
     assert_eq!(front(&smaller), 100);
     let bad = SAMPLE.replace("= 1817", "= 10");
@@ -100,9 +103,12 @@
             cancel_s: cancel,
         });
         let slow = |ms: u64| ms + ms / 2000;
-        assert!(slow(t.grace) + slow(t.worker_lease) + 500 < (cancel * 1000.0) as u64);
+        assert!(slow(t.leader_grace) + slow(t.worker_lease) + 500 < (cancel * 1000.0) as u64);
         // Renewals and watches come at least this often while all is well.
-        assert!(t.grace > 2 * k::LEASE_RENEW_MS.max(k::WATCH_MS));
+        assert!(
+            t.leader_grace
+                > 2 * constants::LEASE_RENEWAL_INTERVAL_MS.max(constants::WATCH_TIMEOUT_MS)
+        );
     }
 }
 
@@ -187,6 +193,9 @@
     // Without limits there are defaults, of which nobody is warned.
     let limits = SAMPLE.find("[cluster.machine_limits]").unwrap();
     let defaults = Settings::parse(&SAMPLE[..limits], "s.toml").unwrap();
-    assert_eq!(defaults.cluster.machine_limits.mem_mb, k::DEFAULT_MEMORY_MB);
+    assert_eq!(
+        defaults.cluster.machine_limits.mem_mb,
+        constants::DEFAULT_MEMORY_MB
+    );
     assert_eq!(defaults.warnings(), Vec::<String>::new());
 }
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::{Cluster, MachineLimits, State, Workers};
 use super::{Settings, Team};
-use crate::constants as k;
+use crate::constants;
 
 /// Least size of a value in the state service, KiB, and least number of changes of a transaction: a
 /// submission without long lists, and a part of an array's progress, take less than the one; a change
@@ -128,12 +128,12 @@
 
 fn validate_machine_limits(limits: &MachineLimits) -> Validity {
     let field = |name: &str| format!("cluster.machine_limits.{name}");
-    if limits.max_connections < k::CONNECTIONS_MIN {
-        let allowed = format!("expected at least {}", k::CONNECTIONS_MIN);
+    if limits.max_connections < constants::MIN_CONNECTIONS {
+        let allowed = format!("expected at least {}", constants::MIN_CONNECTIONS);
         return Err(InvalidField::new(field("max_connections"), allowed));
     }
-    if !(k::MEMORY_MB_MIN..=AMOUNT_MAX).contains(&limits.mem_mb) {
-        let allowed = format!("expected a number from {} to 1e6", k::MEMORY_MB_MIN);
+    if !(constants::MIN_MEMORY_MB..=AMOUNT_MAX).contains(&limits.mem_mb) {
+        let allowed = format!("expected a number from {} to 1e6", constants::MIN_MEMORY_MB);
         return Err(InvalidField::new(field("mem_mb"), allowed));
     }
     if limits
@@ -164,10 +164,10 @@
 /// A cancellation must be able to outlast a worker's lease: see [`super::Timing::grace`].
 fn validate_cancellation_time(workers: &Workers) -> Validity {
     let (cancel_s, lease_s) = (workers.cancel_s, workers.lease_s);
-    if cancel_s < lease_s + k::CANCEL_SLACK_MIN_S {
+    if cancel_s < lease_s + constants::MIN_CANCEL_SLACK_S {
         let allowed = format!(
             "{cancel_s} given; expected at least lease_s ({lease_s}) and {} s more",
-            k::CANCEL_SLACK_MIN_S
+            constants::MIN_CANCEL_SLACK_S
         );
         return Err(InvalidField::new("cluster.workers.cancel_s", allowed));
     }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,10 +1,10 @@
 //! Carries out calls to the state service, within its published limits.
 
-use super::{Record, StoreCall, StoreError, StoreReply, Urgency};
-use crate::constants as k;
+use super::{CallPriority, Record, StoreCall, StoreError, StoreReply};
+use crate::constants;
 use crate::http::{Answer, CallError, HttpClient};
+use crate::rate_limit::TokenBucket;
 use crate::settings::Settings;
-use crate::tokens::TokenBucket;
 use crate::wire::store as w;
 use crate::wire::{decode, encode};
 use hyper::Method;
@@ -27,24 +27,28 @@
 impl StoreClient {
     pub fn new(http: HttpClient, settings: &Settings) -> Self {
         let state = &settings.cluster.state;
-        let bucket = |rate: f64| Mutex::new(TokenBucket::new(rate * k::RATE_SHARE, 1.0));
+        let bucket = |rate: f64| Mutex::new(TokenBucket::new(rate * constants::RATE_SHARE, 1.0));
         StoreClient {
             http,
             addr: settings.services.state,
             calls: bucket(state.rps),
-            writes: bucket(state.write_rps.max(state.txn_ops as f64 / k::RATE_SHARE)),
+            writes: bucket(
+                state
+                    .write_rps
+                    .max(state.txn_ops as f64 / constants::RATE_SHARE),
+            ),
             user_writes: Mutex::new(TokenBucket::new(
-                state.write_rps * k::USER_WRITE_SHARE,
-                k::USER_WRITE_BURST_S,
+                state.write_rps * constants::USER_WRITE_SHARE,
+                constants::USER_WRITE_BURST_S,
             )),
             started: Instant::now(),
         }
     }
 
     /// Takes a token for the call and one for each write, waiting if that urgency may wait.
-    async fn admit(&self, call: &StoreCall, urgency: Urgency) -> Result<(), StoreError> {
+    async fn admit(&self, call: &StoreCall, priority: CallPriority) -> Result<(), StoreError> {
         let writes = match call {
-            StoreCall::Commit(txn) => txn.writes.len() as f64,
+            StoreCall::Commit(txn) => txn.mutations.len() as f64,
             _ => 0.0,
         };
         let take = |bucket: &Mutex<TokenBucket>, amount, reserve| {
@@ -60,22 +64,22 @@
                 continue;
             }
             loop {
-                let wait = match urgency {
-                    Urgency::Lease => {
+                let wait = match priority {
+                    CallPriority::Leadership => {
                         let mut bucket = bucket.lock().unwrap_or_else(|e| e.into_inner());
                         bucket.force(amount, self.started.elapsed());
                         None
                     }
-                    Urgency::Engine => take(bucket, amount, 0.0),
-                    Urgency::User => match users.map(|own| take(own, amount, 0.0)) {
+                    CallPriority::Engine => take(bucket, amount, 0.0),
+                    CallPriority::User => match users.map(|own| take(own, amount, 0.0)) {
                         Some(None) => None,
-                        _ => take(bucket, amount, k::RATE_RESERVE),
+                        _ => take(bucket, amount, constants::RESERVED_RATE_SHARE),
                     },
                 };
-                match (wait, urgency) {
+                match (wait, priority) {
                     (None, _) => break,
-                    (Some(_), Urgency::User) => {
-                        return Err(StoreError::Refused("no token left for users".into()));
+                    (Some(_), CallPriority::User) => {
+                        return Err(StoreError::NotExecuted("no token left for users".into()));
                     }
                     (Some(wait), _) => tokio::time::sleep(wait).await,
                 }
@@ -85,8 +89,12 @@
     }
 
     /// Makes the call and reads its answer.
-    pub async fn call(&self, call: &StoreCall, urgency: Urgency) -> Result<StoreReply, StoreError> {
-        let answer = self.exchange(call, urgency).await?;
+    pub async fn call(
+        &self,
+        call: &StoreCall,
+        priority: CallPriority,
+    ) -> Result<StoreReply, StoreError> {
+        let answer = self.exchange(call, priority).await?;
         read(call, &answer)
     }
 
@@ -97,37 +105,44 @@
         key: String,
     ) -> Result<Option<Record<T>>, StoreError> {
         let call = StoreCall::Get { key };
-        let answer = self.exchange(&call, Urgency::User).await?;
+        let answer = self.exchange(&call, CallPriority::User).await?;
         read_record(&call, &answer)
     }
 
     /// Makes the call once its tokens are there.
-    async fn exchange(&self, call: &StoreCall, urgency: Urgency) -> Result<Answer, StoreError> {
-        self.admit(call, urgency).await?;
-        let mut timeout = k::STORE_TIMEOUT;
+    async fn exchange(
+        &self,
+        call: &StoreCall,
+        priority: CallPriority,
+    ) -> Result<Answer, StoreError> {
+        self.admit(call, priority).await?;
+        let mut timeout = constants::STORE_TIMEOUT;
         let (method, path, body) = match call {
             StoreCall::Get { key } => (Method::GET, format!("/store/{key}"), None),
             StoreCall::List { prefix, after } => {
                 let after = after
                     .as_ref()
                     .map_or(String::new(), |a| format!("&after={a}"));
-                let path = format!("/store?under={prefix}{after}&page={}", k::LIST_PAGE);
+                let path = format!(
+                    "/store?under={prefix}{after}&page={}",
+                    constants::STORE_LIST_PAGE_ITEMS
+                );
                 (Method::GET, path, None)
             }
             StoreCall::Commit(txn) => (Method::POST, "/commit".into(), Some(encode(txn))),
-            StoreCall::Hold { ttl_ms } => (
+            StoreCall::GrantLease { ttl_ms } => (
                 Method::POST,
                 "/holds".into(),
-                Some(encode(&w::TouchBody { ttl_ms: *ttl_ms })),
+                Some(encode(&w::GrantLeaseRequest { ttl_ms: *ttl_ms })),
             ),
-            StoreCall::Touch { lease } => (Method::POST, format!("/holds/{lease}/touch"), None),
-            StoreCall::Drop { lease } => (Method::DELETE, format!("/holds/{lease}"), None),
+            StoreCall::KeepAlive { lease } => (Method::POST, format!("/holds/{lease}/touch"), None),
+            StoreCall::RevokeLease { lease } => (Method::DELETE, format!("/holds/{lease}"), None),
             StoreCall::Watch {
                 prefix,
                 after,
                 wait_ms,
             } => {
-                timeout = Duration::from_millis(*wait_ms) + k::WATCH_SLACK;
+                timeout = Duration::from_millis(*wait_ms) + constants::WATCH_SLACK;
                 let path = format!("/changes?under={prefix}&after={after}&block_ms={wait_ms}");
                 (Method::GET, path, None)
             }
@@ -136,9 +151,9 @@
             .call(method, self.addr, &path, body, timeout)
             .await
             .map_err(|e| match (e, call) {
-                (CallError::NotSent(why), _) => StoreError::Refused(why),
+                (CallError::NotSent(why), _) => StoreError::NotExecuted(why),
                 // More has changed than is read at once: the records are read again, in pages.
-                (CallError::TooLong, StoreCall::Watch { .. }) => StoreError::TooOld,
+                (CallError::TooLong, StoreCall::Watch { .. }) => StoreError::Compacted,
                 (e, _) => StoreError::Unknown(e.to_string()),
             })
     }
@@ -158,11 +173,11 @@
         }));
     }
     match read(call, answer)? {
-        StoreReply::Got(None) => Ok(None),
-        StoreReply::Got(Some(item)) => Ok(Some(Record::Unreadable {
+        StoreReply::Item(None) => Ok(None),
+        StoreReply::Item(Some(item)) => Ok(Some(Record::Unreadable {
             version: item.version,
         })),
-        _ => Err(StoreError::Bad("unexpected answer".into())),
+        _ => Err(StoreError::Malformed("unexpected answer".into())),
     }
 }
 
@@ -172,10 +187,10 @@
         decode(&answer.body).map_err(|e| StoreError::Unknown(format!("unreadable answer: {e}")))
     }
     match (call, answer.status) {
-        (_, 429 | 503) => Err(StoreError::Refused(format!("status {}", answer.status))),
-        (StoreCall::Get { .. }, 200) => Ok(StoreReply::Got(Some(body(answer)?))),
-        (StoreCall::Get { .. }, 404) => Ok(StoreReply::Got(None)),
-        (StoreCall::List { .. }, 200) => Ok(StoreReply::Listed(body(answer)?)),
+        (_, 429 | 503) => Err(StoreError::NotExecuted(format!("status {}", answer.status))),
+        (StoreCall::Get { .. }, 200) => Ok(StoreReply::Item(Some(body(answer)?))),
+        (StoreCall::Get { .. }, 404) => Ok(StoreReply::Item(None)),
+        (StoreCall::List { .. }, 200) => Ok(StoreReply::Listing(body(answer)?)),
         (StoreCall::Commit(_), 200) => {
             let at: w::Revision = body(answer)?;
             Ok(StoreReply::Committed {
@@ -184,20 +199,24 @@
         }
         (StoreCall::Commit(_), 409) => {
             let conflict: w::Conflict = body(answer)?;
-            Err(StoreError::Conflict(conflict.failed))
+            Err(StoreError::Conflict(conflict.failed_keys))
+        }
+        (StoreCall::GrantLease { .. }, 200) => {
+            let held: w::LeaseGranted = body(answer)?;
+            Ok(StoreReply::LeaseGranted { lease: held.lease })
+        }
+        (StoreCall::KeepAlive { .. } | StoreCall::RevokeLease { .. }, 200 | 204) => {
+            Ok(StoreReply::LeaseUpdated)
         }
-        (StoreCall::Hold { .. }, 200) => {
-            let held: w::Lease = body(answer)?;
-            Ok(StoreReply::Held { lease: held.lease })
+        (StoreCall::KeepAlive { .. } | StoreCall::RevokeLease { .. }, 404) => {
+            Err(StoreError::NoLease)
         }
-        (StoreCall::Touch { .. } | StoreCall::Drop { .. }, 200 | 204) => Ok(StoreReply::Ok),
-        (StoreCall::Touch { .. } | StoreCall::Drop { .. }, 404) => Err(StoreError::NoLease),
-        (StoreCall::Watch { .. }, 200) => Ok(StoreReply::Changed(body(answer)?)),
-        (StoreCall::Watch { .. }, 410) => Err(StoreError::TooOld),
+        (StoreCall::Watch { .. }, 200) => Ok(StoreReply::Changes(body(answer)?)),
+        (StoreCall::Watch { .. }, 410) => Err(StoreError::Compacted),
         (_, status) => {
             let text = String::from_utf8_lossy(&answer.body);
             let text: String = text.chars().take(100).collect();
-            Err(StoreError::Bad(format!("status {status}: {text}")))
+            Err(StoreError::Malformed(format!("status {status}: {text}")))
         }
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,92 +1,124 @@
-//! The state service: the calls there are, and the client that carries them out.
+//! The state service, a consensus-backed key-value store: its calls, and the client that carries
+//! them out.
 
 mod client;
 
 pub use client::StoreClient;
 
-use crate::wire::store::{Changes, Item, Listing, Txn};
+use crate::wire::store::{Changes, Item, Listing, Transaction};
 
 /// One call to the state service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreCall {
+    /// Reads one key.
     Get {
+        /// The key.
         key: String,
     },
+    /// Reads a page of keys.
     List {
+        /// Prefix of the keys.
         prefix: String,
+        /// The last key of the page before; none for the first page.
         after: Option<String>,
     },
-    Commit(Txn),
-    Hold {
+    /// Commits a transaction.
+    Commit(Transaction),
+    /// Asks for a new lease.
+    GrantLease {
+        /// Time to live, ms.
         ttl_ms: u64,
     },
-    Touch {
+    /// Renews a lease.
+    KeepAlive {
+        /// The lease.
         lease: u64,
     },
-    Drop {
+    /// Ends a lease; the keys attached to it are deleted.
+    RevokeLease {
+        /// The lease.
         lease: u64,
     },
+    /// Waits until a key has changed.
     Watch {
+        /// Prefix of the keys.
         prefix: String,
+        /// Revision after which changes count.
         after: u64,
+        /// How long to wait if nothing has changed, ms.
         wait_ms: u64,
     },
 }
 
-/// What it answered.
+/// The state service's reply to a call that succeeded.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreReply {
-    /// The key with its value, or nothing.
-    Got(Option<Item>),
-    Listed(Listing),
+    /// The key with its value; `None` if it does not exist.
+    Item(Option<Item>),
+    /// A page of keys.
+    Listing(Listing),
+    /// The transaction is committed.
     Committed {
+        /// Revision of its changes.
         revision: u64,
     },
-    Held {
+    /// A lease was granted.
+    LeaseGranted {
+        /// The lease.
         lease: u64,
     },
-    /// A renewal or an early end went through.
-    Ok,
-    Changed(Changes),
+    /// A lease was renewed or revoked.
+    LeaseUpdated,
+    /// What has changed.
+    Changes(Changes),
 }
 
-/// A record read from under a key.
+/// A record read from a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record<T> {
-    /// It has the expected form.
-    Read { record: T, version: u64 },
-    /// It is there, but is of another form.
-    Unreadable { version: u64 },
+    /// The record has the expected form.
+    Read {
+        /// The record.
+        record: T,
+        /// Version of its key.
+        version: u64,
+    },
+    /// The key exists, but its value has another form.
+    Unreadable {
+        /// Version of the key.
+        version: u64,
+    },
 }
 
+/// Why a call to the state service failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// Conditions failed on these keys: not executed.
+    /// Comparisons failed on these keys: not executed.
     #[error("conflict on {0:?}")]
     Conflict(Vec<String>),
-    /// The lease is over.
+    /// The lease has expired or was revoked.
     #[error("no such lease")]
     NoLease,
     /// The watch asks for changes that are no longer kept, or for more than is read at once.
     #[error("changes no longer kept, or too many")]
-    TooOld,
+    Compacted,
     /// Refused, certainly not executed (429, 503, or no token of our own).
     #[error("not executed: {0}")]
-    Refused(String),
-    /// No answer: it may have been executed, or may still be.
+    NotExecuted(String),
+    /// No response: the call may have been executed, or may still be.
     #[error("no answer: {0}")]
     Unknown(String),
-    /// The service calls the request malformed, or its answer can't be read.
+    /// The service calls the request malformed, or its response can't be read.
     #[error("bad request or answer: {0}")]
-    Bad(String),
+    Malformed(String),
 }
 
-/// How a call stands towards the others when tokens are short.
+/// How a call is treated when rate-limit tokens are short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Urgency {
-    /// Renewals of the leader's lease: never wait.
-    Lease,
-    /// The engine's work: waits for a token.
+pub enum CallPriority {
+    /// Calls that leadership depends on: never wait.
+    Leadership,
+    /// The engine's other calls: wait for a token.
     Engine,
     /// On behalf of a user: refused at once when tokens are short.
     User,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -12,12 +12,17 @@
 use serde::{Deserialize, Deserializer, Serialize};
 
 /// Why a body could not be read.
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+#[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
+    /// The body does not begin with a map.
     #[error("body is not a MessagePack map")]
     NotAMap,
-    #[error("{0}")]
-    Invalid(String),
+    /// The map does not have the form of the message.
+    #[error(transparent)]
+    Invalid(#[from] rmp_serde::decode::Error),
+    /// The message does not fill the body.
+    #[error("bytes after the message")]
+    TrailingBytes,
 }
 
 /// Encodes a message as a MessagePack map.
@@ -35,10 +40,9 @@
     }
     // Reads text where it stands in the body, without a copy of each key and value.
     let mut deserializer = rmp_serde::Deserializer::from_read_ref(body);
-    let message =
-        T::deserialize(&mut deserializer).map_err(|e| DecodeError::Invalid(e.to_string()))?;
+    let message = T::deserialize(&mut deserializer)?;
     if !is_at_end(&mut deserializer) {
-        return Err(DecodeError::Invalid("bytes after the message".into()));
+        return Err(DecodeError::TrailingBytes);
     }
     Ok(message)
 }
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -1,4 +1,4 @@
-//! Controller nodes -> state service.
+//! Messages between controller nodes and the state service, a consensus-backed key-value store.
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
@@ -6,27 +6,37 @@
 /// A key with its value: of any form, or of the form that its reader expects.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item<V = Value> {
+    /// The key.
     #[serde(rename = "path")]
     pub key: String,
+    /// Its value.
     #[serde(rename = "data")]
     pub value: V,
+    /// Revision of the key's last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
+/// A page of keys with a common prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
+    /// Keys with their values, in key order.
     pub items: Vec<Item>,
+    /// Whether further keys follow the last one.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub has_more: bool,
+    /// Revision of the service when the page was read.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
+/// A condition of a transaction: a key must still have this version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Condition {
+pub struct Comparison {
+    /// The key.
     #[serde(rename = "path")]
     pub key: String,
+    /// Its expected version; 0 if it must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -34,104 +44,144 @@
 /// One change of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Write {
+pub enum Mutation {
+    /// Sets a key's value.
     Put {
-        put: String,
+        /// The key.
+        #[serde(rename = "put")]
+        key: String,
+        /// Its new value.
         #[serde(rename = "data")]
         value: Value,
+        /// The lease that the key is attached to, if any.
         #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
+    /// Deletes a key.
     Delete {
+        /// The key.
         #[serde(rename = "remove")]
-        delete: String,
+        key: String,
     },
 }
 
+/// A compare-and-swap over several keys: all mutations are applied if all comparisons hold, else
+/// none.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
+    /// Conditions that must hold.
     #[serde(rename = "when")]
-    pub conditions: Vec<Condition>,
-    pub writes: Vec<Write>,
+    pub comparisons: Vec<Comparison>,
+    /// Changes that are applied together.
+    #[serde(rename = "writes")]
+    pub mutations: Vec<Mutation>,
 }
 
-impl Txn {
+impl Transaction {
     /// Adds the condition that `key` still has `version` (0: does not exist).
-    pub fn when(mut self, key: impl Into<String>, version: u64) -> Self {
-        self.conditions.push(Condition {
+    pub fn compare(mut self, key: impl Into<String>, version: u64) -> Self {
+        self.comparisons.push(Comparison {
             key: key.into(),
             version,
         });
         self
     }
 
+    /// Adds a put without a lease.
     pub fn put(mut self, key: impl Into<String>, value: Value) -> Self {
-        self.writes.push(Write::Put {
-            put: key.into(),
+        self.mutations.push(Mutation::Put {
+            key: key.into(),
             value,
             lease: None,
         });
         self
     }
 
-    pub fn put_leased(mut self, key: impl Into<String>, value: Value, lease: u64) -> Self {
-        self.writes.push(Write::Put {
-            put: key.into(),
+    /// Adds a put that attaches the key to a lease.
+    pub fn put_with_lease(mut self, key: impl Into<String>, value: Value, lease: u64) -> Self {
+        self.mutations.push(Mutation::Put {
+            key: key.into(),
             value,
             lease: Some(lease),
         });
         self
     }
 
+    /// Adds a deletion.
     pub fn delete(mut self, key: impl Into<String>) -> Self {
-        self.writes.push(Write::Delete { delete: key.into() });
+        self.mutations.push(Mutation::Delete { key: key.into() });
         self
     }
 }
 
+/// The response to a committed transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
+    /// Revision of all changes of the transaction.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
+/// The response to a transaction whose comparisons failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
-    pub failed: Vec<String>,
+    /// Keys whose version differs from the expected one.
+    #[serde(rename = "failed")]
+    pub failed_keys: Vec<String>,
 }
 
+/// A request for a new lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TouchBody {
+pub struct GrantLeaseRequest {
+    /// Time to live, ms.
     pub ttl_ms: u64,
 }
 
+/// The response to a request for a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lease {
+pub struct LeaseGranted {
+    /// Id of the lease.
     #[serde(rename = "tenure")]
     pub lease: u64,
 }
 
+/// A change that a watch tells of.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(untagged)]
-pub enum Event {
+// The text of a malformed event stays as it was before the type's name changed.
+#[serde(
+    untagged,
+    expecting = "data did not match any variant of untagged enum Event"
+)]
+pub enum WatchEvent {
+    /// A key was set.
     Put {
-        put: String,
+        /// The key.
+        #[serde(rename = "put")]
+        key: String,
+        /// Its new value.
         #[serde(rename = "data")]
         value: Value,
+        /// Revision of the change.
         #[serde(rename = "stamp")]
         version: u64,
     },
+    /// A key was deleted, or its lease expired.
     Delete {
+        /// The key.
         #[serde(rename = "remove")]
-        delete: String,
+        key: String,
+        /// Revision of the change.
         #[serde(rename = "stamp")]
         version: u64,
     },
 }
 
+/// The response to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
+    /// Revision up to which the events are complete.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
-    pub events: Vec<Event>,
+    /// Changes in order.
+    pub events: Vec<WatchEvent>,
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -32,19 +32,19 @@
         task: format!("run-{n}/{}", n % 7),
         attempt: n,
         state: worker::TaskState::Exited,
-        why: Some(worker::Why::Done),
-        saved: n.is_multiple_of(2).then_some(true),
+        exit_reason: Some(worker::ExitReason::Completed),
+        checkpoint_saved: n.is_multiple_of(2).then_some(true),
     };
-    let report = worker::Report {
+    let heartbeat = worker::Heartbeat {
         machine: "host-000231".into(),
-        addr: "10.1.0.232:9000".into(),
+        address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "east".into(),
         spot: false,
-        session: 1,
-        seq: 88,
-        token: 1 << 40,
-        notice_s: Some(0.5),
+        incarnation: 1,
+        sequence: 88,
+        fencing_token: 1 << 40,
+        preemption_notice_s: Some(0.5),
         tasks: (0..6).map(task).collect(),
     };
     let item = store::Item {
@@ -56,11 +56,11 @@
     let mut random = SmallRng::seed_from_u64(seed);
     let (mut read, mut refused) = (0, 0);
     for round in 0..20_000 {
-        let mut body = encode(&report);
+        let mut body = encode(&heartbeat);
         damage(&mut body, &mut random);
-        let copied = decode_by_copying::<worker::Report>(&body);
+        let copied = decode_by_copying::<worker::Heartbeat>(&body);
         assert_eq!(
-            decode::<worker::Report>(&body).ok(),
+            decode::<worker::Heartbeat>(&body).ok(),
             copied,
             "seed {seed}, round {round}"
         );
@@ -82,16 +82,16 @@
 
 #[test]
 fn only_whole_maps_are_read() {
-    let lease = store::TouchBody { ttl_ms: 5 };
+    let lease = store::GrantLeaseRequest { ttl_ms: 5 };
     let body = encode(&lease);
-    assert_eq!(decode::<store::TouchBody>(&body).unwrap().ttl_ms, 5);
+    assert_eq!(decode::<store::GrantLeaseRequest>(&body).unwrap().ttl_ms, 5);
     let mut long = body.clone();
     long.push(0);
-    assert!(decode::<store::TouchBody>(&long).is_err());
+    assert!(decode::<store::GrantLeaseRequest>(&long).is_err());
     let list = rmp_serde::to_vec(&lease).unwrap();
-    assert_eq!(
-        decode::<store::TouchBody>(&list).unwrap_err(),
-        DecodeError::NotAMap
-    );
-    assert!(decode::<store::TouchBody>(&[]).is_err());
+    assert!(matches!(
+        decode::<store::GrantLeaseRequest>(&list),
+        Err(DecodeError::NotAMap)
+    ));
+    assert!(decode::<store::GrantLeaseRequest>(&[]).is_err());
 }
--- a/src/wire/user/tests.rs
+++ b/src/wire/user/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-pub fn job(id: &str, kind: Kind, tasks: u64) -> Job {
-    Job {
+pub fn job(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
+    JobSubmission {
         id: id.into(),
         class: "train".into(),
         team: "vision".into(),
@@ -13,44 +13,44 @@
         memory_gb: 8.0,
         image: "img-1".into(),
         image_gb: 3.0,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 60.0,
-        checkpoint_s: 10.0,
-        save_s: 2.0,
+        single_zone: false,
+        spread_zones: false,
+        allows_spot: false,
+        expected_duration_s: 60.0,
+        checkpoint_interval_s: 10.0,
+        checkpoint_cost_s: 2.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
     }
 }
 
 #[test]
 fn submissions_are_checked() {
-    assert!(job("run-000412", Kind::Array, 3).check().is_ok());
+    assert!(job("run-000412", JobKind::Array, 3).validate().is_ok());
     let mut bad = vec![
-        job("run-", Kind::Array, 1),
-        job("run-12x", Kind::Array, 1),
-        job("run-1", Kind::Array, 0),
-        job("run-1", Kind::Array, 100_001),
+        job("run-", JobKind::Array, 1),
+        job("run-12x", JobKind::Array, 1),
+        job("run-1", JobKind::Array, 0),
+        job("run-1", JobKind::Array, 100_001),
     ];
     for cpus in [f64::NAN, f64::INFINITY, -1.0] {
-        let mut one = job("run-1", Kind::Array, 1);
+        let mut one = job("run-1", JobKind::Array, 1);
         one.cpus = cpus;
         bad.push(one);
     }
-    let mut long = job("run-1", Kind::Array, 1);
-    long.types = Some(vec!["x".repeat(3000)]);
+    let mut long = job("run-1", JobKind::Array, 1);
+    long.machine_types = Some(vec!["x".repeat(3000)]);
     bad.push(long);
     for one in bad {
-        assert!(one.check().is_err(), "{one:?}");
+        assert!(one.validate().is_err(), "{one:?}");
     }
 }
 
 #[test]
 fn numbers_may_be_whole_or_not_but_counts_are_whole() {
-    let good = job("run-1", Kind::Gang, 2);
+    let good = job("run-1", JobKind::Gang, 2);
     let mut value: rmpv::Value = rmp_serde::from_slice(&crate::wire::encode(&good)).unwrap();
     let map = match &mut value {
         rmpv::Value::Map(m) => m,
@@ -64,12 +64,12 @@
         }
     };
     field(map, "vcpus", rmpv::Value::from(4));
-    let read: Job = crate::wire::decode(&crate::wire::encode(&value)).unwrap();
+    let read: JobSubmission = crate::wire::decode(&crate::wire::encode(&value)).unwrap();
     assert_eq!(read.cpus, 4.0);
     let map = match &mut value {
         rmpv::Value::Map(m) => m,
         _ => panic!("not a map"),
     };
     field(map, "pieces", rmpv::Value::from(-2));
-    assert!(crate::wire::decode::<Job>(&crate::wire::encode(&value)).is_err());
+    assert!(crate::wire::decode::<JobSubmission>(&crate::wire::encode(&value)).is_err());
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -4,16 +4,16 @@
 //! Stops go before the rest. What finds no room in the queue is dropped: stops are also in the
 //! answer to the worker's next report.
 
-use crate::constants as k;
+use crate::constants;
 use crate::http::HttpClient;
 use crate::wire::encode;
-use crate::wire::worker::DirectOrders;
+use crate::wire::worker::DirectCommands;
 use hyper::Method;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-type Call = (SocketAddr, DirectOrders);
+type Call = (SocketAddr, DirectCommands);
 
 /// Calls that wait, and how many are under way.
 #[derive(Debug, Default)]
@@ -26,15 +26,15 @@
 impl Queue {
     /// Whether the call may begin now; otherwise it waits, if there is room.
     fn begins(&mut self, call: Call) -> Option<Call> {
-        if self.under_way < k::WORKER_CALLS {
+        if self.under_way < constants::MAX_WORKER_CALLS {
             self.under_way += 1;
             return Some(call);
         }
-        let queue = match call.1.orders.is_empty() {
+        let queue = match call.1.commands.is_empty() {
             true => &mut self.rest,
             false => &mut self.stops,
         };
-        if queue.len() < k::WORKER_CALLS_WAITING {
+        if queue.len() < constants::MAX_QUEUED_WORKER_CALLS {
             queue.push_back(call);
         } else {
             tracing::debug!(addr = %call.0, "too many orders wait, left to the next report");
@@ -73,25 +73,29 @@
     }
 
     /// Sends the orders in the background.
-    pub fn send(&self, addr: SocketAddr, orders: DirectOrders) {
-        let mut next = self.queue().begins((addr, orders));
+    pub fn send(&self, addr: SocketAddr, commands: DirectCommands) {
+        let mut next = self.queue().begins((addr, commands));
         if next.is_none() {
             return;
         }
         let client = self.clone();
         tokio::spawn(async move {
-            while let Some((addr, orders)) = next {
-                client.call(addr, &orders).await;
+            while let Some((addr, commands)) = next {
+                client.call(addr, &commands).await;
                 next = client.queue().next();
             }
         });
     }
 
-    async fn call(&self, addr: SocketAddr, orders: &DirectOrders) {
-        let body = Some(encode(orders));
-        let call = self
-            .http
-            .call(Method::POST, addr, "/commands", body, k::WORKER_TIMEOUT);
+    async fn call(&self, addr: SocketAddr, commands: &DirectCommands) {
+        let body = Some(encode(commands));
+        let call = self.http.call(
+            Method::POST,
+            addr,
+            "/commands",
+            body,
+            constants::WORKER_TIMEOUT,
+        );
         match call.await {
             Ok(answer) if answer.status == 200 => {}
             Ok(answer) => tracing::debug!(%addr, status = answer.status, "orders refused"),
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
-use crate::wire::worker::Order;
+use crate::wire::worker::WorkerCommand;
 
 fn call(port: u16, stops: usize) -> Call {
-    let stop = Order::Stop {
+    let stop = WorkerCommand::Stop {
         task: "run-1/0".into(),
         attempt: 1,
         grace_s: 0,
     };
-    let orders = DirectOrders {
-        token: 1,
-        session: 1,
-        orders: vec![stop; stops],
+    let commands = DirectCommands {
+        fencing_token: 1,
+        incarnation: 1,
+        commands: vec![stop; stops],
     };
-    (([127, 0, 0, 1], port).into(), orders)
+    (([127, 0, 0, 1], port).into(), commands)
 }
 
 /// A round's calls to its machines once took every place, and the stops of a gang that came
@@ -32,8 +32,12 @@
     while queue.next().is_some() {
         rest += 1;
     }
-    assert_eq!(rest, 300 - k::WORKER_CALLS, "and the rest after them");
-    for _ in 1..k::WORKER_CALLS {
+    assert_eq!(
+        rest,
+        300 - constants::MAX_WORKER_CALLS,
+        "and the rest after them"
+    );
+    for _ in 1..constants::MAX_WORKER_CALLS {
         assert!(queue.next().is_none());
     }
     assert_eq!(queue.under_way, 0);
@@ -45,5 +49,5 @@
     for port in 0..u16::MAX {
         queue.begins(call(port, 1));
     }
-    assert_eq!(queue.stops.len(), k::WORKER_CALLS_WAITING);
+    assert_eq!(queue.stops.len(), constants::MAX_QUEUED_WORKER_CALLS);
 }
--- a/tests/bad_input/bounds.rs
+++ b/tests/bad_input/bounds.rs
@@ -110,8 +110,8 @@
         .into_iter()
         .map(|(field, form, value)| {
             let body = encode(&submission_with(field, value));
-            let job = decode::<user::Job>(&body).expect("the right form");
-            Case::new(format!("{field}: {form}"), job.check())
+            let job = decode::<user::JobSubmission>(&body).expect("the right form");
+            Case::new(format!("{field}: {form}"), job.validate())
         })
         .collect();
     assert_fixture("submission_bounds.txt", &cases);
--- a/tests/bad_input/messages.rs
+++ b/tests/bad_input/messages.rs
@@ -79,12 +79,12 @@
 
 #[test]
 fn submissions() {
-    assert_outcomes::<user::Job>("submission.txt", &submission());
+    assert_outcomes::<user::JobSubmission>("submission.txt", &submission());
 }
 
 #[test]
 fn reports() {
-    assert_outcomes::<worker::Report>("report.txt", &report());
+    assert_outcomes::<worker::Heartbeat>("report.txt", &report());
 }
 
 #[test]
@@ -145,7 +145,7 @@
 #[test]
 fn leases() {
     let lease = map(vec![("tenure", 5.into())]);
-    assert_outcomes::<store::Lease>("lease.txt", &lease);
+    assert_outcomes::<store::LeaseGranted>("lease.txt", &lease);
 }
 
 #[test]
@@ -163,7 +163,7 @@
         ("yards", list(vec!["east".into()])),
     ]);
     let types = map(vec![("models", list(vec![machine_type]))]);
-    assert_outcomes::<cloud::MachineTypes>("machine_types.txt", &types);
+    assert_outcomes::<cloud::MachineTypeList>("machine_types.txt", &types);
 }
 
 #[test]
@@ -180,11 +180,11 @@
         ("hosts", list(vec![machine])),
         ("truncated", true.into()),
     ]);
-    assert_outcomes::<cloud::MachineList>("machine_list.txt", &machines);
+    assert_outcomes::<cloud::MachinePage>("machine_list.txt", &machines);
 }
 
 #[test]
 fn names_of_machines() {
     let machines = map(vec![("hosts", list(vec!["host-000001".into()]))]);
-    assert_outcomes::<cloud::Machines>("machines.txt", &machines);
+    assert_outcomes::<cloud::MachineNames>("machines.txt", &machines);
 }
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -13,11 +13,11 @@
 use std::time::Duration;
 use support::{StateService, ready_node_where};
 use tokio::net::TcpListener;
-use umbervale::constants::USER_CALLS;
+use umbervale::constants::MAX_USER_CALLS;
 use umbervale::http::{Answer, HttpClient};
-use umbervale::model::Token;
+use umbervale::model::FencingToken;
 use umbervale::peer::{Message, read_frame, write_frame};
-use umbervale::wire::worker::{Elsewhere, Orders, Report};
+use umbervale::wire::worker::{Heartbeat, HeartbeatResponse, LeaderRedirect};
 use umbervale::wire::{decode, encode};
 
 /// That a node's machine allows; half of them are for `front`.
@@ -170,17 +170,17 @@
 }
 
 /// The first report of a machine without tasks.
-fn report_of(machine: &str) -> Report {
-    Report {
+fn report_of(machine: &str) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
-        addr: "127.0.0.1:1".into(),
+        address: "127.0.0.1:1".into(),
         machine_type: "g8".into(),
         zone: "east".into(),
         spot: false,
-        session: 1,
-        seq: 1,
-        token: 0,
-        notice_s: None,
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: 0,
+        preemption_notice_s: None,
         tasks: Vec::new(),
     }
 }
@@ -197,12 +197,12 @@
     let mut report = report_of("host-000001");
     let leads = async {
         loop {
-            report.seq += 1;
+            report.sequence += 1;
             let answer = client
                 .send(Method::POST, "/v1/report", Some(encode(&report)))
                 .await;
             if answer.status == 200 {
-                return decode::<Orders>(&answer.body).unwrap();
+                return decode::<HeartbeatResponse>(&answer.body).unwrap();
             }
             assert!([421, 503].contains(&answer.status), "{}", answer.status);
         }
@@ -210,17 +210,17 @@
     let orders = tokio::time::timeout(Duration::from_secs(20), leads)
         .await
         .expect("leads in time");
-    assert!(orders.token >= 1 && orders.orders.is_empty());
+    assert!(orders.fencing_token >= 1 && orders.commands.is_empty());
     // A worker that has seen a later leader is sent away.
-    let seen = Token(orders.token);
-    assert_eq!(seen, Token::first(seen.term()));
-    report.token = Token::first(seen.term() + 1).0;
-    report.seq += 1;
+    let seen = FencingToken(orders.fencing_token);
+    assert_eq!(seen, FencingToken::first_of_term(seen.term()));
+    report.fencing_token = FencingToken::first_of_term(seen.term() + 1).0;
+    report.sequence += 1;
     let answer = client
         .send(Method::POST, "/v1/report", Some(encode(&report)))
         .await;
     assert_eq!(answer.status, 421);
-    assert_eq!(decode::<Elsewhere>(&answer.body).unwrap().report_to, None);
+    assert_eq!(decode::<LeaderRedirect>(&answer.body).unwrap().leader, None);
 }
 
 /// An accepted job stays known whatever has become of its record: "no answer" for 75 s would be a
@@ -325,7 +325,7 @@
     let begun = std::time::Instant::now();
     let mut answered = 0;
     while answered < 2 {
-        report.seq += 1;
+        report.sequence += 1;
         let body = Some(encode(&report));
         let path = "/v1/report";
         let answer = http.call(Method::POST, front, path, body, Duration::from_secs(4));
@@ -386,7 +386,7 @@
     let mut report = report_of("host-000001");
     let lead = async {
         loop {
-            report.seq += 1;
+            report.sequence += 1;
             let body = Some(encode(&report));
             if client.status(Method::POST, "/v1/report", body).await == 200 {
                 return;
@@ -397,7 +397,7 @@
     leads.expect("leads in time");
     service.stalled.store(true, Ordering::Relaxed);
     let mut questions = tokio::task::JoinSet::new();
-    for n in 0..2 * USER_CALLS {
+    for n in 0..2 * MAX_USER_CALLS {
         let client = client.clone();
         questions.spawn(async move {
             let path = format!("/submissions/run-{n}");
@@ -405,16 +405,16 @@
         });
     }
     // Those beyond the bound are answered although none of the others is.
-    for _ in 0..USER_CALLS {
+    for _ in 0..MAX_USER_CALLS {
         let refused = questions.join_next().await.unwrap().unwrap();
         assert_eq!(refused.status, 503);
     }
-    assert_eq!(questions.len(), USER_CALLS);
-    report.seq += 1;
+    assert_eq!(questions.len(), MAX_USER_CALLS);
+    report.sequence += 1;
     let body = Some(encode(&report));
     assert_eq!(client.status(Method::POST, "/v1/report", body).await, 200);
     assert_eq!(client.status(Method::GET, "/ready", None).await, 200);
-    assert_eq!(questions.len(), USER_CALLS);
+    assert_eq!(questions.len(), MAX_USER_CALLS);
     // The others are not kept for longer than a user waits.
     while let Some(late) = questions.join_next().await {
         assert_eq!(late.unwrap().status, 503);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -62,9 +62,9 @@
         self.put_unheard(key, value.clone());
         let mut records = self.records.lock().unwrap();
         let version = records.revision;
-        let put = key.to_owned();
-        let event = ws::Event::Put {
-            put,
+        let key = key.to_owned();
+        let event = ws::WatchEvent::Put {
+            key,
             value,
             version,
         };
@@ -143,7 +143,12 @@
     }
     let transaction = decode(&body).unwrap();
     match service.records.lock().unwrap().commit(transaction) {
-        Err(failed) => (StatusCode::CONFLICT, encode(&ws::Conflict { failed })),
+        Err(failed) => (
+            StatusCode::CONFLICT,
+            encode(&ws::Conflict {
+                failed_keys: failed,
+            }),
+        ),
         Ok(revision) => {
             service.changed.notify_waiters();
             (StatusCode::OK, encode(&ws::Revision { revision }))
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -13,7 +13,7 @@
 pub struct Records {
     pub values: BTreeMap<String, (Value, u64)>,
     pub revision: u64,
-    changes: VecDeque<(u64, wire::Event)>,
+    changes: VecDeque<(u64, wire::WatchEvent)>,
     leases: u64,
 }
 
@@ -45,48 +45,48 @@
         let items = items.filter_map(|key| self.item(key)).collect();
         wire::Listing {
             items,
-            more: keys.next().is_some(),
+            has_more: keys.next().is_some(),
             revision: self.revision,
         }
     }
 
     /// Carries a transaction out: the new revision, or the keys whose conditions fail.
-    pub fn commit(&mut self, transaction: wire::Txn) -> Result<u64, Vec<String>> {
-        let failed = transaction.conditions.iter();
+    pub fn commit(&mut self, transaction: wire::Transaction) -> Result<u64, Vec<String>> {
+        let failed = transaction.comparisons.iter();
         let failed = failed.filter(|condition| self.version(&condition.key) != condition.version);
         let failed: Vec<String> = failed.map(|condition| condition.key.clone()).collect();
         if !failed.is_empty() {
             return Err(failed);
         }
         self.revision += 1;
-        for write in transaction.writes {
+        for write in transaction.mutations {
             self.apply(write);
         }
         Ok(self.revision)
     }
 
-    fn apply(&mut self, write: wire::Write) {
+    fn apply(&mut self, write: wire::Mutation) {
         let version = self.revision;
         let event = match write {
-            wire::Write::Put { put, value, .. } => {
+            wire::Mutation::Put { key, value, .. } => {
                 let stored = (value.clone(), version);
-                self.values.insert(put.clone(), stored);
-                wire::Event::Put {
-                    put,
+                self.values.insert(key.clone(), stored);
+                wire::WatchEvent::Put {
+                    key,
                     value,
                     version,
                 }
             }
-            wire::Write::Delete { delete } => {
-                self.values.remove(&delete);
-                wire::Event::Delete { delete, version }
+            wire::Mutation::Delete { key } => {
+                self.values.remove(&key);
+                wire::WatchEvent::Delete { key, version }
             }
         };
         self.note_change(event);
     }
 
     /// Has watches told of a change of the present revision.
-    pub fn note_change(&mut self, event: wire::Event) {
+    pub fn note_change(&mut self, event: wire::WatchEvent) {
         self.changes.push_back((self.revision, event));
         if self.changes.len() > CHANGES_KEPT {
             self.changes.pop_front();
@@ -95,9 +95,9 @@
 
     /// The changes of keys with a prefix after that revision.
     pub fn changes_after(&self, under: &str, after: u64) -> wire::Changes {
-        let is_under = |event: &wire::Event| match event {
-            wire::Event::Put { put, .. } => put.starts_with(under),
-            wire::Event::Delete { delete, .. } => delete.starts_with(under),
+        let is_under = |event: &wire::WatchEvent| match event {
+            wire::WatchEvent::Put { key, .. } => key.starts_with(under),
+            wire::WatchEvent::Delete { key, .. } => key.starts_with(under),
         };
         let newer = self.changes.iter().rev();
         let newer = newer.take_while(|(at, _)| *at > after);
@@ -111,8 +111,8 @@
     }
 
     /// A lease of its own.
-    pub fn new_lease(&mut self) -> wire::Lease {
+    pub fn new_lease(&mut self) -> wire::LeaseGranted {
         self.leases += 1;
-        wire::Lease { lease: self.leases }
+        wire::LeaseGranted { lease: self.leases }
     }
 }
--- a/tests/wire_format/frames.rs
+++ b/tests/wire_format/frames.rs
@@ -29,11 +29,11 @@
     read_frame(&mut far).await.unwrap()
 }
 
-fn announcement(node: &str, term: u64, store_ok: bool) -> Message {
+fn announcement(node: &str, term: u64, store_reachable: bool) -> Message {
     Message::Announce(Announcement {
         node: node.into(),
         term,
-        store_ok,
+        store_reachable,
     })
 }
 
--- a/tests/wire_format/messages.rs
+++ b/tests/wire_format/messages.rs
@@ -6,14 +6,17 @@
 use serde::de::DeserializeOwned;
 use std::fmt::Debug;
 use umbervale::wire::cloud::{
-    ListedMachine, MachineList, MachineState, MachineType, MachineTypes, Machines, Rent,
+    ListedMachine, MachineNames, MachinePage, MachineState, MachineType, MachineTypeList,
+    RentRequest,
 };
 use umbervale::wire::store::{
-    Changes, Condition, Conflict, Event, Item, Lease, Listing, Revision, TouchBody, Txn, Write,
+    Changes, Comparison, Conflict, GrantLeaseRequest, Item, LeaseGranted, Listing, Mutation,
+    Revision, Transaction, WatchEvent,
 };
-use umbervale::wire::user::{Job, JobState, JobStatus, Kind, Priority, Refusal};
+use umbervale::wire::user::{JobKind, JobState, JobStatus, JobSubmission, Priority, Refusal};
 use umbervale::wire::worker::{
-    DirectOrders, Elsewhere, Order, Orders, Report, Task, TaskState, Why,
+    DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, LeaderRedirect, Task, TaskState,
+    WorkerCommand,
 };
 use umbervale::wire::{decode, encode};
 
@@ -25,7 +28,7 @@
 {
     let pinned = table.take_bytes(name);
     assert_eq!(encode(message), pinned, "{name}");
-    assert_eq!(decode::<T>(&pinned).as_ref(), Ok(message), "{name}");
+    assert_eq!(decode::<T>(&pinned).ok().as_ref(), Some(message), "{name}");
 }
 
 /// Bytes of another form that are read as the case.
@@ -35,15 +38,15 @@
     T: DeserializeOwned + PartialEq + Debug,
 {
     let pinned = table.take_bytes(name);
-    assert_eq!(decode::<T>(&pinned).as_ref(), Ok(message), "{name}");
+    assert_eq!(decode::<T>(&pinned).ok().as_ref(), Some(message), "{name}");
 }
 
-fn minimal_job() -> Job {
-    Job {
+fn minimal_job() -> JobSubmission {
+    JobSubmission {
         id: "run-1".into(),
         class: "train".into(),
         team: "vision".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 1,
         cpus: 0.0,
@@ -51,25 +54,25 @@
         memory_gb: 0.0,
         image: "img-1".into(),
         image_gb: 0.0,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate_s: 0.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        single_zone: false,
+        spread_zones: false,
+        allows_spot: false,
+        expected_duration_s: 0.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_cost_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
     }
 }
 
-fn full_job() -> Job {
-    Job {
+fn full_job() -> JobSubmission {
+    JobSubmission {
         id: "run-000412".into(),
         class: "train".into(),
         team: "vision".into(),
-        kind: Kind::Gang,
+        kind: JobKind::Gang,
         priority: Priority::High,
         tasks: 100_000,
         cpus: 8.5,
@@ -77,16 +80,16 @@
         memory_gb: 64.0,
         image: "img-07".into(),
         image_gb: 6.2,
-        types: Some(vec!["g8".into(), "c32".into()]),
+        machine_types: Some(vec!["g8".into(), "c32".into()]),
         zone: Some("east".into()),
-        one_zone: true,
-        spread: true,
-        spot: true,
-        estimate_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 4.0,
+        single_zone: true,
+        spread_zones: true,
+        allows_spot: true,
+        expected_duration_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_cost_s: 4.0,
         deadline_s: Some(900.0),
-        awaits: vec!["run-000410".into(), "run-000411".into()],
+        depends_on: vec!["run-000410".into(), "run-000411".into()],
     }
 }
 
@@ -96,11 +99,11 @@
     both_ways(&mut table, "minimal", &minimal_job());
     both_ways(&mut table, "full", &full_job());
     for (name, kind) in [
-        ("kind_array", Kind::Array),
-        ("kind_gang", Kind::Gang),
-        ("kind_service", Kind::Service),
+        ("kind_array", JobKind::Array),
+        ("kind_gang", JobKind::Gang),
+        ("kind_service", JobKind::Service),
     ] {
-        let job = Job {
+        let job = JobSubmission {
             kind,
             ..minimal_job()
         };
@@ -112,14 +115,14 @@
         ("priority_high", Priority::High),
         ("priority_production", Priority::Production),
     ] {
-        let job = Job {
+        let job = JobSubmission {
             priority,
             ..minimal_job()
         };
         both_ways(&mut table, name, &job);
     }
-    let no_types = Job {
-        types: Some(Vec::new()),
+    let no_types = JobSubmission {
+        machine_types: Some(Vec::new()),
         ..minimal_job()
     };
     both_ways(&mut table, "no_types", &no_types);
@@ -137,8 +140,8 @@
     let status = |state, counts: Option<(u64, u64)>| JobStatus {
         id: "run-000412".into(),
         state,
-        done: counts.map(|(done, _)| done),
-        running: counts.map(|(_, running)| running),
+        completed_tasks: counts.map(|(done, _)| done),
+        running_tasks: counts.map(|(_, running)| running),
     };
     for (name, state) in [
         ("queued", JobState::Queued),
@@ -157,41 +160,41 @@
     table.finish();
 }
 
-fn task(state: TaskState, why: Option<Why>, saved: Option<bool>) -> Task {
+fn task(state: TaskState, exit_reason: Option<ExitReason>, checkpoint_saved: Option<bool>) -> Task {
     Task {
         task: "run-000412/3".into(),
         attempt: 2,
         state,
-        why,
-        saved,
+        exit_reason,
+        checkpoint_saved,
     }
 }
 
-fn minimal_report() -> Report {
-    Report {
+fn minimal_report() -> Heartbeat {
+    Heartbeat {
         machine: "host-000231".into(),
-        addr: "10.1.0.232:9000".into(),
+        address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "east".into(),
         spot: false,
-        session: 1,
-        seq: 0,
-        token: 0,
-        notice_s: None,
+        incarnation: 1,
+        sequence: 0,
+        fencing_token: 0,
+        preemption_notice_s: None,
         tasks: Vec::new(),
     }
 }
 
-fn full_report() -> Report {
-    Report {
+fn full_report() -> Heartbeat {
+    Heartbeat {
         spot: true,
-        session: 300,
-        seq: 88,
-        token: 1 << 40,
-        notice_s: Some(29.5),
+        incarnation: 300,
+        sequence: 88,
+        fencing_token: 1 << 40,
+        preemption_notice_s: Some(29.5),
         tasks: vec![
             task(TaskState::Running, None, None),
-            task(TaskState::Exited, Some(Why::Stopped), Some(true)),
+            task(TaskState::Exited, Some(ExitReason::Stopped), Some(true)),
         ],
         ..minimal_report()
     }
@@ -206,50 +209,50 @@
     read_as(&mut table, "unknown_fields", &full_report());
     for (name, state) in [
         ("task_fetching", TaskState::Fetching),
-        ("task_waiting", TaskState::Waiting),
+        ("task_waiting", TaskState::WaitingForGang),
         ("task_running", TaskState::Running),
-        ("task_saving", TaskState::Saving),
+        ("task_saving", TaskState::Checkpointing),
         ("task_exited", TaskState::Exited),
     ] {
         both_ways(&mut table, name, &task(state, None, None));
     }
     for (name, why) in [
-        ("why_done", Why::Done),
-        ("why_stopped", Why::Stopped),
-        ("why_peers", Why::Peers),
-        ("why_alone", Why::Alone),
-        ("why_error", Why::Error),
-        ("why_no_room", Why::NoRoom),
-        ("why_busy", Why::Busy),
-        ("why_unknown", Why::Unknown),
+        ("why_done", ExitReason::Completed),
+        ("why_stopped", ExitReason::Stopped),
+        ("why_peers", ExitReason::GangPeerLost),
+        ("why_alone", ExitReason::GangIncomplete),
+        ("why_error", ExitReason::Failed),
+        ("why_no_room", ExitReason::InsufficientResources),
+        ("why_busy", ExitReason::AttemptConflict),
+        ("why_unknown", ExitReason::UnknownTask),
     ] {
         let exited = task(TaskState::Exited, Some(why), None);
         both_ways(&mut table, name, &exited);
     }
     for (name, saved) in [("saved", true), ("not_saved", false)] {
-        let stopped = task(TaskState::Exited, Some(Why::Stopped), Some(saved));
+        let stopped = task(TaskState::Exited, Some(ExitReason::Stopped), Some(saved));
         both_ways(&mut table, name, &stopped);
     }
     table.finish();
 }
 
-fn start() -> Order {
-    Order::Start {
+fn start() -> WorkerCommand {
+    WorkerCommand::Start {
         task: "run-000412/4".into(),
         attempt: 2,
     }
 }
 
-fn stop(grace_s: u64) -> Order {
-    Order::Stop {
+fn stop(grace_s: u64) -> WorkerCommand {
+    WorkerCommand::Stop {
         task: "run-000377/1".into(),
         attempt: 1 << 40,
         grace_s,
     }
 }
 
-fn forget() -> Order {
-    Order::Forget {
+fn forget() -> WorkerCommand {
+    WorkerCommand::Forget {
         task: "run-000398/0".into(),
         attempt: 1,
     }
@@ -263,20 +266,23 @@
     both_ways(&mut table, "stop_at_once", &stop(0));
     both_ways(&mut table, "forget", &forget());
     let all = || vec![start(), stop(10), forget()];
-    let answer = |token, orders| Orders { token, orders };
+    let answer = |fencing_token, commands| HeartbeatResponse {
+        fencing_token,
+        commands,
+    };
     both_ways(&mut table, "answer", &answer(41, all()));
     both_ways(&mut table, "answer_empty", &answer(u64::MAX, Vec::new()));
-    both_ways(&mut table, "answer_default", &Orders::default());
-    let elsewhere = Elsewhere {
-        report_to: Some("drone-2".into()),
+    both_ways(&mut table, "answer_default", &HeartbeatResponse::default());
+    let elsewhere = LeaderRedirect {
+        leader: Some("drone-2".into()),
     };
     both_ways(&mut table, "elsewhere", &elsewhere);
-    both_ways(&mut table, "elsewhere_unknown", &Elsewhere::default());
-    read_as(&mut table, "elsewhere_null", &Elsewhere::default());
-    let direct = |orders| DirectOrders {
-        token: 41,
-        session: 1,
-        orders,
+    both_ways(&mut table, "elsewhere_unknown", &LeaderRedirect::default());
+    read_as(&mut table, "elsewhere_null", &LeaderRedirect::default());
+    let direct = |orders| DirectCommands {
+        fencing_token: 41,
+        incarnation: 1,
+        commands: orders,
     };
     both_ways(&mut table, "direct", &direct(all()));
     both_ways(&mut table, "direct_empty", &direct(Vec::new()));
@@ -316,12 +322,20 @@
         zones: Vec::new(),
         ..machine_type()
     };
-    let types = |types| MachineTypes { types };
-    both_ways(&mut table, "types", &types(vec![machine_type(), nowhere]));
-    both_ways(&mut table, "types_none", &types(Vec::new()));
-    read_as(&mut table, "types_whole", &types(vec![machine_type()]));
-    let rent = |spot, count| Rent {
-        request: "r-17".into(),
+    let machine_types = |machine_types| MachineTypeList { machine_types };
+    both_ways(
+        &mut table,
+        "types",
+        &machine_types(vec![machine_type(), nowhere]),
+    );
+    both_ways(&mut table, "types_none", &machine_types(Vec::new()));
+    read_as(
+        &mut table,
+        "types_whole",
+        &machine_types(vec![machine_type()]),
+    );
+    let rent = |spot, count| RentRequest {
+        request_id: "r-17".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot,
@@ -329,7 +343,7 @@
     };
     both_ways(&mut table, "rent_spot", &rent(true, 50));
     both_ways(&mut table, "rent_ordinary", &rent(false, 1));
-    let machines = |machines| Machines { machines };
+    let machines = |machines| MachineNames { machines };
     let two = vec!["host-000231".into(), "host-000232".into()];
     both_ways(&mut table, "machines", &machines(two));
     both_ways(&mut table, "machines_none", &machines(Vec::new()));
@@ -343,7 +357,10 @@
     let ordinary = listed(MachineState::Running, false);
     both_ways(&mut table, "listed_ordinary", &ordinary);
     read_as(&mut table, "listed_left_out", &ordinary);
-    let page = |machines, more| MachineList { machines, more };
+    let page = |machines, more| MachinePage {
+        machines,
+        has_more: more,
+    };
     let both = vec![ordinary, listed(MachineState::Booting, true)];
     both_ways(&mut table, "list", &page(both, true));
     both_ways(&mut table, "list_empty", &page(Vec::new(), false));
@@ -377,60 +394,58 @@
     let mut table = FixtureTable::open("wire/store.txt");
     both_ways(&mut table, "item", &item());
     read_as(&mut table, "item_leased", &item());
-    let typed = Item::<TouchBody> {
+    let typed = Item::<GrantLeaseRequest> {
         key: "a/b".into(),
-        value: TouchBody { ttl_ms: 5_000 },
+        value: GrantLeaseRequest { ttl_ms: 5_000 },
         version: 0,
     };
     both_ways(&mut table, "item_of_a_type", &typed);
     let listing = |items, more| Listing {
         items,
-        more,
+        has_more: more,
         revision: 431,
     };
     both_ways(&mut table, "listing", &listing(vec![item(), item()], true));
     both_ways(&mut table, "listing_empty", &listing(Vec::new(), false));
     read_as(&mut table, "listing_left_out", &listing(Vec::new(), false));
-    let condition = Condition {
+    let condition = Comparison {
         key: "a/b".into(),
         version: 0,
     };
     both_ways(&mut table, "condition", &condition);
-    let put = |lease| Write::Put {
-        put: "a/b".into(),
+    let put = |lease| Mutation::Put {
+        key: "a/b".into(),
         value: any_value(),
         lease,
     };
     both_ways(&mut table, "put", &put(None));
     both_ways(&mut table, "put_leased", &put(Some(7)));
-    let delete = Write::Delete {
-        delete: "c/d".into(),
-    };
+    let delete = Mutation::Delete { key: "c/d".into() };
     both_ways(&mut table, "delete", &delete);
-    both_ways(&mut table, "txn_empty", &Txn::default());
-    let txn = Txn::default()
-        .when("a/b", 0)
-        .when("c/d", 412)
+    both_ways(&mut table, "txn_empty", &Transaction::default());
+    let txn = Transaction::default()
+        .compare("a/b", 0)
+        .compare("c/d", 412)
         .put("a/b", any_value())
-        .put_leased("live/lead", 1.into(), 7)
+        .put_with_lease("live/lead", 1.into(), 7)
         .delete("c/d");
     both_ways(&mut table, "txn", &txn);
     both_ways(&mut table, "revision", &Revision { revision: 432 });
     let conflict = Conflict {
-        failed: vec!["a/b".into()],
+        failed_keys: vec!["a/b".into()],
     };
     both_ways(&mut table, "conflict", &conflict);
     read_as(&mut table, "conflict_with_revision", &conflict);
-    both_ways(&mut table, "hold", &TouchBody { ttl_ms: 600_000 });
-    both_ways(&mut table, "lease", &Lease { lease: 7 });
-    let changed = Event::Put {
-        put: "c/9".into(),
+    both_ways(&mut table, "hold", &GrantLeaseRequest { ttl_ms: 600_000 });
+    both_ways(&mut table, "lease", &LeaseGranted { lease: 7 });
+    let changed = WatchEvent::Put {
+        key: "c/9".into(),
         value: any_value(),
         version: 433,
     };
     both_ways(&mut table, "event_put", &changed);
-    let deleted = Event::Delete {
-        delete: "c/d".into(),
+    let deleted = WatchEvent::Delete {
+        key: "c/d".into(),
         version: 432,
     };
     both_ways(&mut table, "event_delete", &deleted);
@@ -489,9 +504,9 @@
 #[test]
 fn malformed_bodies_are_refused_with_the_pinned_texts() {
     let mut table = FixtureTable::open("wire/malformed.txt");
-    spoil_each_field::<Job>(&mut table, "submission", &encode(&full_job()));
-    spoil_each_field::<Report>(&mut table, "report", &encode(&full_report()));
-    let stopped = task(TaskState::Exited, Some(Why::Stopped), Some(true));
+    spoil_each_field::<JobSubmission>(&mut table, "submission", &encode(&full_job()));
+    spoil_each_field::<Heartbeat>(&mut table, "report", &encode(&full_report()));
+    let stopped = task(TaskState::Exited, Some(ExitReason::Stopped), Some(true));
     spoil_each_field::<Task>(&mut table, "task", &encode(&stopped));
     table.finish();
 }
