--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -5,7 +5,7 @@
 use super::responses::{Answer, answer, refuse, unavailable};
 use crate::constants;
 use crate::engine::{self, Command, JobRecord, Reply};
-use crate::model::{JobId, JobSpec, MachineTypes};
+use crate::model::{JobId, JobSpec, MachineTypes, UnixTime};
 use crate::node::unix_time_ms;
 use crate::settings::Settings;
 use crate::store::{StoreCall, StoreError};
@@ -21,7 +21,7 @@
             Ok(job) => job,
             Err(why) => return self.refuse_malformed(body, &why).await,
         };
-        let record = JobRecord::new(job, unix_time_ms());
+        let record = JobRecord::new(job, UnixTime::from_millis(unix_time_ms()));
         let value = engine::job_value(&record);
         if engine::json_size(&value) + constants::RECORD_SPARE_BYTES > self.settings.value_max() {
             let why = "models and awaits: too long together";
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,12 +1,15 @@
 //! What to rent: a pure function from waiting tasks, expected room and offers to rentals.
 
 use crate::constants;
-use crate::model::{Job, JobId, JobSpec, MachineId, MachineType, MachineTypes, Resources};
+use crate::model::{
+    Job, JobId, JobSpec, MachineId, MachineType, MachineTypes, Resources, UnixTime, whole_millis,
+};
 use crate::placement::{self, Assignment, MachineSnapshot};
 use crate::settings::{ObjectiveKind, ServiceLevelObjective};
 use crate::wire::user::JobKind;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use std::time::Duration;
 
 /// A type, zone and kind (spot or not) that can be asked for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,12 +29,12 @@
 /// Jobs that arrived lately, from which the near future is guessed.
 #[derive(Debug, Default)]
 pub struct ArrivalHistory {
-    /// By time of submission (time of day, ms): the same for a node that has just started.
-    seen: BTreeMap<(u64, JobId), JobSpec>,
+    /// By time of submission: the same for a node that has just started.
+    seen: BTreeMap<(UnixTime, JobId), JobSpec>,
 }
 
 impl ArrivalHistory {
-    pub fn note(&mut self, submitted: u64, id: &JobId, spec: &JobSpec) {
+    pub fn note(&mut self, submitted: UnixTime, id: &JobId, spec: &JobSpec) {
         self.seen.insert((submitted, id.clone()), spec.clone());
         if self.seen.len() > constants::MAX_ARRIVALS {
             self.seen.pop_first();
@@ -42,17 +45,17 @@
     /// classes with an aim that a job misses if a machine has to be rented for it first.
     pub fn expected(
         &self,
-        unix_ms: u64,
+        now: UnixTime,
         types: &MachineTypes,
         objectives: &[ServiceLevelObjective],
     ) -> Vec<JobSpec> {
-        let first = self.seen.keys().next().map_or(unix_ms, |(at, _)| *at);
-        let window = unix_ms
-            .saturating_sub(first)
-            .clamp(1, constants::ARRIVAL_WINDOW_MS);
+        let first = self.seen.keys().next().map_or(now, |(at, _)| *at);
+        let window = now
+            .saturating_since(first)
+            .clamp(Duration::from_millis(1), constants::ARRIVAL_WINDOW);
         let mut classes: BTreeMap<&Arc<str>, Vec<&JobSpec>> = BTreeMap::new();
         for ((at, _), spec) in self.seen.iter().rev() {
-            if unix_ms.saturating_sub(*at) <= window {
+            if now.saturating_since(*at) <= window {
                 classes.entry(&spec.class).or_default().push(spec);
             }
         }
@@ -60,18 +63,19 @@
         for (class, specs) in classes {
             let Some(startup) = specs.iter().find_map(|spec| {
                 let startup = quickest(spec, types)?;
-                starts_late(class, startup.whole_ms(), objectives).then_some(startup)
+                starts_late(class, startup.total(), objectives).then_some(startup)
             }) else {
                 continue;
             };
-            let lead_ms = startup.whole_ms() + startup.whole_ms() / 2;
+            let lead_time =
+                startup.total() + Duration::from_millis(whole_millis(startup.total()) / 2);
             // One that ends within the lead time leaves its room to a later one. (Counted in full,
             // arrays of 25 s, expected over 73 s, kept three times the room that they ever held.)
-            let held_ms: u64 = specs
+            let held: Duration = specs
                 .iter()
-                .map(|spec| startup.held_ms(spec).min(lead_ms))
+                .map(|spec| startup.held(spec).min(lead_time))
                 .sum();
-            let count = held_ms.div_ceil(window);
+            let count = whole_millis(held).div_ceil(whole_millis(window));
             // They will not all come at once, nor with these images: it is their room that counts.
             // (With its image, each was to have a machine of its own to fetch on, and twice as
             // many were rented in the first minutes as then had work.)
@@ -88,23 +92,21 @@
 /// What has to pass before a job's tasks run on a machine that is yet to be rented, nominally.
 #[derive(Debug, Clone, Copy)]
 struct Startup {
-    boot_ms: u64,
-    fetch_ms: u64,
+    boot: Duration,
+    fetch: Duration,
 }
 
 impl Startup {
-    fn whole_ms(self) -> u64 {
-        self.boot_ms + self.fetch_ms
+    fn total(self) -> Duration {
+        self.boot + self.fetch
     }
 
     /// How long a job's tasks hold their room, by its owner's estimate; a service's hold it for
     /// ever.
-    fn held_ms(self, spec: &JobSpec) -> u64 {
+    fn held(self, spec: &JobSpec) -> Duration {
         match spec.kind {
-            JobKind::Service => u64::MAX,
-            JobKind::Array | JobKind::Gang => {
-                spec.expected_duration_ms.saturating_add(self.fetch_ms)
-            }
+            JobKind::Service => Duration::MAX,
+            JobKind::Array | JobKind::Gang => spec.expected_duration.saturating_add(self.fetch),
         }
     }
 }
@@ -120,20 +122,22 @@
                 .is_none_or(|names| names.contains(&t.name))
         })
         .map(|t| Startup {
-            boot_ms: t.boot_ms,
-            fetch_ms: (spec.image_gb / t.fetch_gb_per_s.max(1e-3) * 1000.0) as u64,
+            boot: t.boot_time,
+            fetch: Duration::from_millis(
+                (spec.image_gb / t.fetch_gb_per_s.max(1e-3) * 1000.0) as u64,
+            ),
         })
-        .min_by_key(|startup| startup.whole_ms())
+        .min_by_key(|startup| startup.total())
 }
 
-/// Whether a job that starts only after `start_ms` misses its class's aim for waiting.
-fn starts_late(class: &str, start_ms: u64, objectives: &[ServiceLevelObjective]) -> bool {
+/// Whether a job that starts only after `start` misses its class's aim for waiting.
+fn starts_late(class: &str, start: Duration, objectives: &[ServiceLevelObjective]) -> bool {
     objectives.iter().any(|objective| {
         objective.kind == ObjectiveKind::Wait
             && objective.class.as_deref() == Some(class)
             && objective
                 .within_ms
-                .is_some_and(|within_ms| start_ms > within_ms)
+                .is_some_and(|within_ms| whole_millis(start) > within_ms)
     })
 }
 
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::model::Timestamp;
 use crate::model::{JobPhase, JobSpec};
 use crate::wire::user::{JobKind, tests::job as wire_job};
 
@@ -10,7 +11,7 @@
         fetch_gb_per_s: 0.2,
         price,
         spot_price: price / 3.0,
-        boot_ms: 30_000,
+        boot_time: Duration::from_millis(30_000),
         zones: vec!["east".into(), "west".into()],
     };
     [one("big", 8.0, 8.0), one("small", 2.0, 4.0)]
@@ -27,7 +28,13 @@
 ) -> Vec<(MachineOffer, u64)> {
     let mut wire = wire_job("run-1", kind, tasks.into());
     change(&mut wire);
-    let job = Job::new(JobSpec::from(&wire), 1, 0, JobPhase::Open, 0);
+    let job = Job::new(
+        JobSpec::from(&wire),
+        1,
+        UnixTime::from_millis(0),
+        JobPhase::Open,
+        Timestamp::from_millis(0),
+    );
     let types = types();
     let offers = offers(&types, &refused.iter().cloned().collect(), true);
     let waiting = [WaitingJob {
@@ -79,20 +86,24 @@
     let spec = JobSpec::from(&wire_job("run-1", JobKind::Service, 1));
     let mut arrivals = ArrivalHistory::default();
     for n in 0..30 {
-        arrivals.note(1_000_000 + n, &JobId::from(&*format!("run-{n}")), &spec);
+        arrivals.note(
+            UnixTime::from_millis(1_000_000 + n),
+            &JobId::from(&*format!("run-{n}")),
+            &spec,
+        );
     }
     let aims = std::slice::from_ref(&aim);
     let expected = |a: &ArrivalHistory, unix_ms| a.expected(unix_ms, &types(), aims).len();
-    assert_eq!(expected(&arrivals, 1_400_000), 0);
+    assert_eq!(expected(&arrivals, UnixTime::from_millis(1_400_000)), 0);
     for n in 0..18 {
         arrivals.note(
-            1_220_000 + n * 10_000,
+            UnixTime::from_millis(1_220_000 + n * 10_000),
             &JobId::from(&*format!("run-9{n}")),
             &spec,
         );
     }
     // One in 10 s, and 45 s (with a margin of a half) from renting to running: 7.
-    assert_eq!(expected(&arrivals, 1_400_000), 7);
+    assert_eq!(expected(&arrivals, UnixTime::from_millis(1_400_000)), 7);
 }
 
 /// Room for expected jobs was kept as if none of them ended: arrays of half a minute, expected
@@ -113,10 +124,12 @@
         // for both.
         for n in 0..90 {
             let id = JobId::from(&*format!("run-{n}"));
-            arrivals.note(1_000_000 + n * 2_000, &id, &spec);
+            arrivals.note(UnixTime::from_millis(1_000_000 + n * 2_000), &id, &spec);
         }
         let aims = std::slice::from_ref(&aim);
-        arrivals.expected(1_180_000, &types(), aims).len()
+        arrivals
+            .expected(UnixTime::from_millis(1_180_000), &types(), aims)
+            .len()
     };
     assert_eq!(expected(JobKind::Array, 9.0), 12, "as many as run at once");
     assert_eq!(
--- a/src/engine/autoscaling/housekeeping.rs
+++ b/src/engine/autoscaling/housekeeping.rs
@@ -1,83 +1,70 @@
 //! Housekeeping: a regular pass over the fleet that decides which machines are returned and which
-//! tasks save because their machine will be reclaimed.
+//! tasks write a checkpoint because their machine will be preempted.
 
+use super::Autoscaling;
 use crate::constants;
-use crate::engine::{Engine, Leader};
-use crate::model::{Machine, MachineId, MachinePhase, Ms, TaskId};
-
-/// Why a machine is returned.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ReturnReason {
-    /// It sends no reports, or does not hear our answers.
-    Silent,
-    /// Known by a report alone, perhaps a late copy from a machine that is long gone.
-    NeverAnswered,
-    NeverCameUp,
-    /// The cloud's notice has run out and it no longer reports.
-    Reclaimed,
-    /// Tasks failed on it; it is empty now.
-    Quarantined,
-    /// Its replicas were moved to other machines.
-    Drained,
-    Idle,
-}
-
-impl ReturnReason {
-    /// The reason as logs and operators' pages name it.
-    fn as_str(self) -> &'static str {
-        match self {
-            ReturnReason::Silent => "silent",
-            ReturnReason::NeverAnswered => "never answered",
-            ReturnReason::NeverCameUp => "never came up",
-            ReturnReason::Reclaimed => "taken",
-            ReturnReason::Quarantined => "quarantined",
-            ReturnReason::Drained => "drained",
-            ReturnReason::Idle => "idle",
-        }
-    }
-}
+use crate::engine::Engine;
+use crate::engine::leadership::StepDownReason;
+use crate::model::{Machine, MachineId, MachinePhase, TaskId, Timestamp};
+use std::time::Duration;
 
 /// What a pass over the machines found.
 #[derive(Debug, Default)]
 struct Inspection {
     /// Machines to be returned.
     to_return: Vec<MachineId>,
-    /// Tasks on machines that the cloud will reclaim, with the time left to them, ms.
-    on_reclaimed: Vec<(TaskId, Ms)>,
+    /// Tasks on machines that the cloud will take back.
+    preempted: Vec<PreemptedTask>,
+}
+
+/// A task on a machine that the cloud will take back.
+#[derive(Debug)]
+struct PreemptedTask {
+    task: TaskId,
+    time_left: Duration,
+}
+
+impl Autoscaling {
+    /// Begins a housekeeping pass if one is due; whether it did.
+    fn begin_housekeeping_if_due(&mut self, now: Timestamp) -> bool {
+        let due = now >= self.next_housekeeping_at;
+        if due {
+            self.next_housekeeping_at = now + constants::HOUSEKEEPING_INTERVAL;
+        }
+        due
+    }
 }
 
 impl Engine {
-    /// Inspects the machines if that is due: silent, never up, failing, about to be reclaimed,
+    /// Inspects the machines if that is due: silent, never up, failing, about to be preempted,
     /// idle.
     pub(in crate::engine) fn housekeep_machines_when_due(&mut self) {
-        let now = self.now;
-        let Some(autoscaling) = self.leader_mut().map(|l| &mut l.autoscaling) else {
+        let now = self.context.now();
+        let Some(leader) = self.leadership.leader_mut() else {
             return;
         };
-        if now < autoscaling.next_housekeeping_at {
+        if !leader.autoscaling.begin_housekeeping_if_due(now) {
             return;
         }
-        autoscaling.next_housekeeping_at = now + constants::HOUSEKEEPING_INTERVAL_MS;
-        self.note_cut_off_zones();
+        self.record_cut_off_zones();
         if self.has_lost_contact_with_workers() {
-            self.step_down("most workers can't be heard");
-            self.campaign.at = now + constants::CAMPAIGN_PAUSE_AFTER_HANDOVER_MS;
-            return;
+            self.step_down(StepDownReason::WorkersUnreachable);
+            let until = now + constants::CAMPAIGN_PAUSE_AFTER_HANDOVER;
+            return self.leadership.postpone_campaign(until);
         }
         let inspection = self.inspect_machines();
         self.mark_returning(&inspection.to_return);
         self.scale_in();
-        self.stop_tasks_before_reclaim(inspection.on_reclaimed);
+        self.stop_preempted_tasks(inspection.preempted);
     }
 
-    fn note_cut_off_zones(&mut self) {
-        let now = self.now;
-        let settings = self.settings.clone();
-        for zone in &settings.cluster.zones {
-            if !self.cut_off_from(zone) {
-                continue;
-            }
-            if let Some(leader) = self.leader_mut() {
+    fn record_cut_off_zones(&mut self) {
+        let now = self.context.now();
+        let Some(leader) = self.leadership.leader_mut() else {
+            return;
+        };
+        for zone in &self.context.settings().cluster.zones {
+            if self.peers.is_cut_off_from(zone, now) {
                 let zones = &mut leader.autoscaling.cut_off_zones;
                 zones.insert(zone.as_str().into(), now);
             }
@@ -85,20 +72,19 @@
     }
 
     /// Whether most machines that were up have fallen silent together: more likely this node's
-    /// trouble than theirs, and another node may be on the side of a cut where they are. (A leader
-    /// that had lost only the workers once returned every machine.)
+    /// trouble than theirs, and another node may be on the side of a cut where they are.
     fn has_lost_contact_with_workers(&self) -> bool {
-        let Some(leader) = self.leader() else {
+        let now = self.context.now();
+        let Some(leader) = self.leadership.leader() else {
             return false;
         };
-        let quiet_ms = 2 * self.timing.heartbeat_interval + constants::SAFETY_MARGIN_MS;
+        let two_heartbeats = 2 * self.context.timing().heartbeat_interval;
+        let quiet = two_heartbeats + constants::SAFETY_MARGIN;
+        let is_up = |machine: &&Machine| machine.phase == MachinePhase::Up;
         let (mut up, mut heard) = (0, 0);
-        for machine in leader.machines.values() {
-            if machine.phase != MachinePhase::Up {
-                continue;
-            }
+        for machine in leader.machines.values().filter(is_up) {
             up += 1;
-            if self.now.saturating_sub(machine.last_confirmed_at) <= quiet_ms {
+            if now.saturating_since(machine.last_confirmed_at) <= quiet {
                 heard += 1;
             }
         }
@@ -106,101 +92,30 @@
     }
 
     fn inspect_machines(&self) -> Inspection {
+        let now = self.context.now();
         let mut inspection = Inspection::default();
-        let Some(leader) = self.leader() else {
+        let Some(leader) = self.leadership.leader() else {
             return inspection;
         };
         for machine in leader.machines.values() {
             if let Some(reason) = self.reason_to_return(leader, machine) {
-                let why = reason.as_str();
-                tracing::info!(machine = %machine.id, why, "returning machine");
+                tracing::info!(machine = %machine.id, %reason, "returning machine");
                 inspection.to_return.push(machine.id.clone());
             }
-            if let Some(at) = machine.preemption_at {
-                let left_ms = at.saturating_sub(self.now);
-                let tasks = machine.tasks.iter().map(|task| (task.clone(), left_ms));
-                inspection.on_reclaimed.extend(tasks);
+            if let Some(preemption_at) = machine.preemption_at {
+                let time_left = preemption_at.saturating_since(now);
+                let tasks = machine.tasks.iter().map(|task| PreemptedTask {
+                    task: task.clone(),
+                    time_left,
+                });
+                inspection.preempted.extend(tasks);
             }
         }
         inspection
     }
 
-    fn reason_to_return(&self, leader: &Leader, machine: &Machine) -> Option<ReturnReason> {
-        let since = |at: Ms| self.now.saturating_sub(at);
-        let silent = self.is_silent(leader, machine);
-        let overdue = since(machine.rented_at) > self.boot_patience(machine);
-        let past_notice = machine.preemption_at.is_some_and(|at| self.now > at);
-        let unreported = since(machine.last_confirmed_at) > self.timing.heartbeat_interval;
-        match machine.phase {
-            MachinePhase::Booting if silent && !machine.tasks.is_empty() => {
-                Some(ReturnReason::Silent)
-            }
-            MachinePhase::Booting if silent && !machine.confirmed_by_cloud => {
-                Some(ReturnReason::NeverAnswered)
-            }
-            // After a take-over every machine is new to this leader, however long it has been
-            // rented: it must have had time to report.
-            MachinePhase::Booting if overdue && silent => Some(ReturnReason::NeverCameUp),
-            // Asking for its return gives the proof that its tasks are gone without waiting for a
-            // lease.
-            MachinePhase::Up if past_notice && unreported => Some(ReturnReason::Reclaimed),
-            MachinePhase::Up if silent => Some(ReturnReason::Silent),
-            MachinePhase::Up if machine.quarantined && machine.is_empty() => {
-                Some(ReturnReason::Quarantined)
-            }
-            MachinePhase::Up if machine.draining && machine.is_empty() => {
-                Some(ReturnReason::Drained)
-            }
-            MachinePhase::Up if self.is_surplus(leader, machine) => Some(ReturnReason::Idle),
-            _ => None,
-        }
-    }
-
-    /// Whether a machine has sent no proof for too long that it is alive and hears us.
-    fn is_silent(&self, leader: &Leader, machine: &Machine) -> bool {
-        // A zone that can't be reached keeps working while a node there answers in our
-        // stead: its machines' silence counts from the end of the cut, or from the end of
-        // the longest time for which a node may do so. (Counted from their last report,
-        // the whole zone was returned the moment the cut ended.)
-        let cut_off_zones = &leader.autoscaling.cut_off_zones;
-        let cut_off = cut_off_zones.get(&machine.zone).copied().unwrap_or(0);
-        let excused_until = cut_off.min(machine.last_confirmed_at + self.timing.leader_grace);
-        let unheard_ms = self
-            .now
-            .saturating_sub(machine.last_confirmed_at.max(excused_until));
-        // One that reports although nothing proves that it hears us is given its next report.
-        let reports =
-            self.now.saturating_sub(machine.last_heartbeat_at) <= self.timing.heartbeat_deadline;
-        let patience_ms = match reports {
-            true => self.timing.machine_timeout + self.timing.heartbeat_deadline,
-            false => self.timing.machine_timeout,
-        };
-        unheard_ms > patience_ms
-    }
-
-    /// How long a machine may take to come up, ms.
-    fn boot_patience(&self, machine: &Machine) -> Ms {
-        let machine_type = self.machine_type(&machine.machine_type);
-        let patience_ms = machine_type.map_or(0, |t| {
-            (t.boot_ms as f64 * constants::BOOT_TIMEOUT_FACTOR) as u64
-        });
-        patience_ms.max(constants::MIN_BOOT_TIMEOUT_MS)
-    }
-
-    /// Whether a machine is idle for longer than the operators allow, no expected job would use it,
-    /// and the least time that the cloud charges for is over.
-    fn is_surplus(&self, leader: &Leader, machine: &Machine) -> bool {
-        let idle_limit_ms = (self.settings.operator.idle_s * 1000.0) as u64;
-        let idle_ms = self.now.saturating_sub(machine.idle_since);
-        let held_ms = self.now.saturating_sub(machine.rented_at);
-        machine.is_empty()
-            && !leader.autoscaling.reserved.contains(&machine.id)
-            && idle_ms > idle_limit_ms
-            && held_ms > constants::MIN_CHARGED_MS
-    }
-
     fn mark_returning(&mut self, machines: &[MachineId]) {
-        let Some(leader) = self.leader_mut() else {
+        let Some(leader) = self.leadership.leader_mut() else {
             return;
         };
         for id in machines {
@@ -210,19 +125,19 @@
         }
     }
 
-    /// Tasks on machines that will be reclaimed save while there is time.
-    fn stop_tasks_before_reclaim(&mut self, tasks: Vec<(TaskId, Ms)>) {
-        for (task, left_ms) in tasks {
+    /// Tasks on machines that will be preempted write a checkpoint while there is time.
+    fn stop_preempted_tasks(&mut self, preempted: Vec<PreemptedTask>) {
+        for PreemptedTask { task, time_left } in preempted {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
-            let save_ms = (job.spec.checkpoint_grace_s() + 1) * 1000;
-            if left_ms > save_ms + constants::SAFETY_MARGIN_MS || !job.is_open() {
+            let checkpoint_time = Duration::from_secs(job.spec.checkpoint_grace_s() + 1);
+            if time_left > checkpoint_time + constants::SAFETY_MARGIN || !job.is_open() {
                 continue;
             }
             let placement = job.placements.get(&task.index);
-            let stopping = placement.is_none_or(|p| p.stop_request.is_some());
-            if !stopping {
+            let runs_on = placement.is_some_and(|placement| placement.stop_request.is_none());
+            if runs_on {
                 self.stop_task(&task);
             }
         }
--- a/src/engine/autoscaling/machine_list.rs
+++ b/src/engine/autoscaling/machine_list.rs
@@ -1,107 +1,155 @@
-//! The cloud's list of machines: finds machines that no answer of a rental told of, and those that
-//! have failed.
+//! The cloud's list of machines: finds machines that no response to a rental told of, and those
+//! that have failed.
 
-use super::Autoscaling;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
 use crate::constants;
-use crate::engine::{Engine, Leader, PendingCall, Role};
-use crate::model::{Machine, MachineId, MachinePhase, Ms};
+use crate::engine::Engine;
+use crate::engine::context::Context;
+use crate::engine::leader::Leader;
+use crate::engine::messages::PendingCall;
+use crate::engine::retry::Retry;
+use crate::model::{Machine, MachineId, MachinePhase, Timestamp};
 use crate::wire::cloud::{ListedMachine, MachinePage, MachineState};
+use std::time::Duration;
 
-impl Engine {
-    /// Asks the cloud for the next page of its list, if that is due.
-    pub(super) fn list_machines_when_due(&mut self) {
-        let now = self.now;
-        let Some(autoscaling) = self.leader_mut().map(|l| &mut l.autoscaling) else {
-            return;
-        };
-        if autoscaling.list.due(now) {
-            autoscaling.list.busy = true;
-            let after = autoscaling.list_cursor.clone();
-            self.call_cloud(PendingCall::ListMachines, CloudCall::ListMachines { after });
+/// How far the cloud's list has been read.
+#[derive(Debug, Default)]
+pub(super) struct MachineListing {
+    retry: Retry,
+    /// Whether the list was read to its end at least once in this term.
+    complete: bool,
+    /// Last machine of the page before; `None` if the next page is the first.
+    cursor: Option<String>,
+    /// Pages read of the list in progress.
+    pages: u32,
+}
+
+impl MachineListing {
+    /// Whether the list was read to its end at least once in this term.
+    pub(super) fn is_complete(&self) -> bool {
+        self.complete
+    }
+
+    /// The call that reads the next page, if it is due.
+    fn next_call(&mut self, now: Timestamp) -> Option<CloudCall> {
+        if !self.retry.is_due(now) {
+            return None;
         }
+        self.retry.begin();
+        Some(CloudCall::ListMachines {
+            after: self.cursor.clone(),
+        })
     }
 
-    /// A page of the cloud's list.
-    pub(in crate::engine) fn on_machines(&mut self, result: Result<CloudReply, CloudError>) {
-        let now = self.now;
-        let Role::Leader(leader) = &mut self.role else {
-            return;
-        };
-        let Ok(CloudReply::MachinePage(list)) = result else {
-            if let Err(e) = result {
-                tracing::debug!("machine list: {e}");
-            }
-            leader.autoscaling.list.failed(now, &mut self.rng);
-            return;
-        };
-        let autoscaling = &mut leader.autoscaling;
-        if !autoscaling.goes_on(&list) {
+    fn on_read_failed(&mut self, context: &mut Context) {
+        self.retry.failed(context);
+    }
+
+    /// A page was read; false if the list is given up, and read again some seconds later.
+    fn on_page_read(&mut self, page: &MachinePage, now: Timestamp) -> bool {
+        if !self.may_end(page) {
             tracing::error!(
-                pages = autoscaling.list_pages,
-                "the cloud's machine list does not end, or repeats a page: read again later"
+                pages = self.pages,
+                "machine list abandoned, it does not end or repeats a page"
             );
-            autoscaling.list_cursor = None;
-            autoscaling.list_pages = 0;
-            autoscaling
-                .list
-                .worked(now + constants::MACHINE_LIST_INTERVAL_MS);
-            return;
+            self.cursor = None;
+            self.pages = 0;
+            self.retry.succeeded(now + constants::MACHINE_LIST_INTERVAL);
+            return false;
         }
-        let more = list.machines.last().filter(|_| list.has_more);
-        autoscaling.list_cursor = more.map(|last| last.id.clone());
-        autoscaling.list_pages = more.map_or(0, |_| autoscaling.list_pages + 1);
+        let last = page.machines.last().filter(|_| page.has_more);
+        self.cursor = last.map(|machine| machine.id.clone());
         // A page alone does not tell what is rented.
-        autoscaling.list_complete |= more.is_none();
-        let pause = if more.is_some() {
-            0
-        } else {
-            constants::MACHINE_LIST_INTERVAL_MS
+        let pause = match self.cursor {
+            Some(_) => {
+                self.pages += 1;
+                Duration::ZERO
+            }
+            None => {
+                self.pages = 0;
+                self.complete = true;
+                constants::MACHINE_LIST_INTERVAL
+            }
         };
-        autoscaling.list.worked(now + pause);
-        for listed in list.machines {
-            note_listed_machine(leader, &listed, now);
-        }
+        self.retry.succeeded(now + pause);
+        true
     }
-}
 
-impl Autoscaling {
     /// Whether the page follows the one before, and the list may still end.
-    fn goes_on(&self, list: &MachinePage) -> bool {
-        let last = list.machines.last().map(|machine| &machine.id);
-        let advances = match &self.list_cursor {
+    fn may_end(&self, page: &MachinePage) -> bool {
+        let last = page.machines.last().map(|machine| &machine.id);
+        let advances = match &self.cursor {
             Some(before) => last.is_none_or(|last| last > before),
             None => true,
         };
-        let within_bound = self.list_pages < constants::MAX_MACHINE_LIST_PAGES;
+        let within_bound = self.pages < constants::MAX_MACHINE_LIST_PAGES;
         // A page that says that there are more but names none leads nowhere.
-        let leads_on = !list.has_more || last.is_some();
+        let leads_on = !page.has_more || last.is_some();
         advances && within_bound && leads_on
     }
 }
 
-fn note_listed_machine(leader: &mut Leader, listed: &ListedMachine, now: Ms) {
+impl Engine {
+    /// Asks the cloud for the next page of its list, if that is due.
+    pub(super) fn list_machines_when_due(&mut self) {
+        let now = self.context.now();
+        let Some(leader) = self.leadership.leader_mut() else {
+            return;
+        };
+        if let Some(call) = leader.autoscaling.listing.next_call(now) {
+            self.outbox.call_cloud(PendingCall::ListMachines, call);
+        }
+    }
+
+    /// A page of the cloud's list, or none.
+    pub(in crate::engine) fn on_machines_listed(&mut self, result: Result<CloudReply, CloudError>) {
+        let now = self.context.now();
+        let Some(leader) = self.leadership.leader_mut() else {
+            return;
+        };
+        let listing = &mut leader.autoscaling.listing;
+        let Ok(CloudReply::MachinePage(page)) = result else {
+            if let Err(error) = result {
+                tracing::debug!(%error, "listing machines failed");
+            }
+            return listing.on_read_failed(&mut self.context);
+        };
+        if listing.on_page_read(&page, now) {
+            for listed in page.machines {
+                record_listed_machine(leader, &listed, now);
+            }
+        }
+    }
+}
+
+fn record_listed_machine(leader: &mut Leader, listed: &ListedMachine, now: Timestamp) {
     let id = MachineId::from(&*listed.id);
-    if leader.returned_machines.get(&id).is_some() {
+    if leader.was_returned(&id) {
         return;
     }
-    let age_ms = (listed.age_s.clamp(0.0, 1e9) * 1000.0) as u64;
+    let age = Duration::from_millis((listed.age_s.clamp(0.0, MAX_AGE_S) * 1000.0) as u64);
     leader.machines.insert_if_absent(&id, |id| {
-        tracing::info!(machine = %id, "machine found in the list");
-        Machine::new(id, "".into(), "".into(), listed.spot, now)
+        tracing::info!(machine = %id, "machine found in the cloud's list");
+        Machine::unidentified(id, listed.spot, now)
     });
     leader.machines.update(&id, |machine| {
         machine.confirmed_by_cloud = true;
-        // Whether or not it has reported: one that has is not new either.
-        machine.rented_at = machine.rented_at.min(now.saturating_sub(age_ms));
+        // Whether or not it has sent a heartbeat: one that has is not new either.
+        machine.rented_at = machine.rented_at.min(now.saturating_sub(age));
         if machine.machine_type.is_empty() {
             machine.machine_type = listed.machine_type.as_str().into();
             machine.zone = listed.zone.as_str().into();
             machine.spot = listed.spot;
         }
         if listed.state == MachineState::Failed && machine.phase != MachinePhase::Returning {
-            tracing::info!(machine = %machine.id, "machine has failed");
+            tracing::info!(machine = %machine.id, "machine failed");
             machine.phase = MachinePhase::Returning;
         }
     });
 }
+
+/// Greatest age of a machine that is believed, s.
+const MAX_AGE_S: f64 = 1e9;
+
+#[cfg(test)]
+mod tests;
--- a/src/engine/autoscaling/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -1,90 +1,73 @@
-//! Provisioning: which machines the cluster rents and which it gives back.
+//! Autoscaling: which machines the cluster rents and which it gives back.
 //!
-//! Only the leader provisions. Each pass compares the demand of waiting tasks with the room that
-//! the fleet has or will soon have. The submodules have one job each: [`renting`] requests
-//! machines, [`preemption`] stops tasks where the cloud has refused machines, [`consolidation`]
-//! joins services that half-empty machines hold, [`machine_list`]
-//! follows the cloud's list, [`housekeeping`] inspects the autoscaler, and [`returning`] gives machines
-//! back.
+//! Only the leader scales. Each pass compares the demand of waiting tasks with what the fleet has or
+//! will soon have available. The submodules have one job each: [`scale_out`] rents machines,
+//! [`refusals`] remembers what the cloud had no capacity for, [`preemption`] stops tasks where it has
+//! refused machines, [`consolidation`] joins services that half-empty machines hold,
+//! [`machine_list`] follows the cloud's list, [`housekeeping`] inspects the fleet, and [`scale_in`]
+//! gives machines back.
 
 mod consolidation;
 mod housekeeping;
 mod machine_list;
 mod preemption;
-mod renting;
-mod returning;
+mod refusals;
+mod return_reason;
+mod scale_in;
+mod scale_out;
 
-use super::{Engine, Retry};
+pub(super) use crate::autoscaler::MachineOffer;
+
+use super::Engine;
+use super::retry::Retry;
 use crate::autoscaler::WaitingJob;
 use crate::constants;
-use crate::model::{JobId, Machine, MachineId, MachinePhase, Ms};
+use crate::model::{JobId, Machine, MachineId, MachinePhase, Timestamp};
 use crate::placement::{Candidate, Unplaced};
+use machine_list::MachineListing;
+use refusals::RefusedOffers;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use std::time::Duration;
 
-pub(super) use crate::autoscaler::MachineOffer;
-
-/// The leader's provisioning state.
+/// The autoscaling state of a leader.
 #[derive(Debug)]
 pub(super) struct Autoscaling {
-    /// Tasks for which the last placing pass found no room, by job in the order of service.
-    pub demand: Vec<Unplaced>,
-    /// Offers for which the cloud had no capacity.
-    refusals: BTreeMap<MachineOffer, Refusal>,
+    /// Tasks for which the last scheduling pass found no resources, by job in the order of service.
+    demand: Vec<Unplaced>,
+    refusals: RefusedOffers,
     /// Rental requests made in this term. Term and count together name a request.
-    request_count: u64,
+    rental_requests: u64,
     /// Rental requests whose outcome is not known yet.
     rentals_in_flight: usize,
-    /// Time of the next rental pass, ms.
-    next_rental_at: Ms,
-    /// Until then machines' first reports are surely awaited, ms.
-    first_heartbeats_awaited_until: Ms,
-    /// Schedule of the calls for the machine list.
-    list: Retry,
-    /// Whether the cloud's list was read to its end at least once in this term.
-    list_complete: bool,
-    /// Last machine of the page before; `None` if the next page is the first.
-    list_cursor: Option<String>,
-    /// Pages read of the list that is under way.
-    list_pages: u32,
+    next_rental_pass_at: Timestamp,
+    /// Until then machines' first heartbeats are surely awaited.
+    first_heartbeats_awaited_until: Timestamp,
+    listing: MachineListing,
     /// Schedule of the return calls.
     returns: Retry,
-    /// Time of the next housekeeping pass, ms.
-    next_housekeeping_at: Ms,
-    /// Time from which the next machine may be drained, ms.
-    next_consolidation_at: Ms,
-    /// Jobs for which tasks were stopped lately, or no victims were found, and the time until which
-    /// no more victims are searched for, ms.
-    preemption_pauses: BTreeMap<JobId, Ms>,
+    next_housekeeping_at: Timestamp,
+    next_consolidation_at: Timestamp,
+    /// Jobs for which tasks were preempted lately, or no victims were found, and the time until
+    /// which no more victims are searched for.
+    preemption_pauses: BTreeMap<JobId, Timestamp>,
     /// Idle machines that are kept because expected jobs would use them.
     reserved: BTreeSet<MachineId>,
-    /// Time at which each zone was last found to be cut off, ms.
-    cut_off_zones: BTreeMap<Arc<str>, Ms>,
-}
-
-/// How long an offer is left alone after the cloud had no capacity for it.
-#[derive(Debug, Clone, Copy)]
-struct Refusal {
-    /// Time until which the offer is not asked for, ms.
-    until: Ms,
-    /// Length of that pause, ms; the next one is twice as long.
-    pause: Ms,
+    /// Time at which each zone was last found to be cut off.
+    cut_off_zones: BTreeMap<Arc<str>, Timestamp>,
 }
 
 impl Autoscaling {
     /// State of a leader whose term begins now.
-    pub fn new(now: Ms) -> Self {
+    pub(super) fn new(now: Timestamp) -> Self {
         Autoscaling {
             demand: Vec::new(),
-            refusals: BTreeMap::new(),
-            request_count: 0,
+            refusals: RefusedOffers::default(),
+            rental_requests: 0,
             rentals_in_flight: 0,
-            next_rental_at: now,
+            next_rental_pass_at: now,
             first_heartbeats_awaited_until: now,
-            list: Retry::default(),
-            list_complete: false,
-            list_cursor: None,
-            list_pages: 0,
+            listing: MachineListing::default(),
             returns: Retry::default(),
             next_housekeeping_at: now,
             next_consolidation_at: now,
@@ -94,28 +77,28 @@
         }
     }
 
-    /// Offers that are left alone at the moment.
-    fn refused_offers(&self, now: Ms) -> BTreeSet<MachineOffer> {
-        self.refusals
-            .iter()
-            .filter(|(_, refusal)| now < refusal.until)
-            .map(|(offer, _)| offer.clone())
-            .collect()
+    /// Whether the last scheduling pass left tasks unplaced.
+    pub(super) fn has_demand(&self) -> bool {
+        !self.demand.is_empty()
+    }
+
+    /// Sets the tasks that a scheduling pass has left unplaced.
+    fn set_demand(&mut self, unplaced: Vec<Unplaced>, now: Timestamp) {
+        // The first tasks that wait don't wait for the next pass as well.
+        if self.demand.is_empty() && !unplaced.is_empty() {
+            self.next_rental_pass_at = now;
+        }
+        self.demand = unplaced;
     }
 }
 
 impl Engine {
-    /// Takes the unplaced tasks of a placing pass as the demand.
+    /// Takes the unplaced tasks of a scheduling pass as the demand.
     pub(super) fn set_demand(&mut self, unplaced: Vec<Unplaced>) {
-        let now = self.now;
-        let Some(autoscaling) = self.leader_mut().map(|l| &mut l.autoscaling) else {
-            return;
-        };
-        // The first tasks that wait don't wait for the next pass as well.
-        if autoscaling.demand.is_empty() && !unplaced.is_empty() {
-            autoscaling.next_rental_at = now;
+        let now = self.context.now();
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.autoscaling.set_demand(unplaced, now);
         }
-        autoscaling.demand = unplaced;
     }
 
     /// Lists the cloud's machines and runs a rental pass, each if it is due.
@@ -130,55 +113,57 @@
     }
 
     fn is_rental_pass_due(&mut self) -> bool {
-        let Some(autoscaling) = self.leader().map(|l| &l.autoscaling) else {
+        let now = self.context.now();
+        let Some(leader) = self.leadership.leader() else {
             return false;
         };
+        let autoscaling = &leader.autoscaling;
         // Until the first list nobody knows what is rented already; demand must not double it.
         // What goes over all machines comes last: this is asked at every step.
         autoscaling.rentals_in_flight == 0
-            && autoscaling.list_complete
-            && self.now >= autoscaling.next_rental_at
+            && autoscaling.listing.is_complete()
+            && now >= autoscaling.next_rental_pass_at
             && !self.awaits_first_heartbeats()
     }
 
-    /// Compares the demand with the fleet: stops tasks for jobs that renting can't help, and rents
-    /// for the others.
+    /// Compares the demand with the fleet: preempts tasks for jobs that renting can't help, and
+    /// rents for the others.
     fn run_rental_pass(&mut self) {
-        let now = self.now;
-        if let Some(leader) = self.leader_mut() {
-            leader.autoscaling.next_rental_at = now + constants::HOUSEKEEPING_INTERVAL_MS;
+        let now = self.context.now();
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.autoscaling.next_rental_pass_at = now + constants::HOUSEKEEPING_INTERVAL;
         }
         self.refresh_snapshots();
         let candidates = self.candidates();
-        let plan = self.plan_preemption(&candidates);
-        let wanted = self.scaling_plan(&candidates);
-        if let Some(leader) = self.leader_mut() {
-            leader.autoscaling.reserved = wanted.keep;
+        let preemption = self.plan_preemption(&candidates);
+        let scaling = self.scaling_plan(&candidates);
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.autoscaling.reserved = scaling.keep;
         }
-        self.pause_preemption(plan.without_victims);
-        if let Some(preemption) = plan.preemption {
+        self.pause_preemption(preemption.without_victims);
+        if let Some(preemption) = preemption.preemption {
             self.preempt(preemption);
         }
-        self.scale_out(wanted.rent);
+        self.scale_out(scaling.rent);
     }
 
     /// Whether a machine is about to come up. One that is overdue is not counted on.
     fn is_booting(&self, machine: &Machine) -> bool {
-        let boot_ms = self
-            .machine_type(&machine.machine_type)
-            .map_or(0, |t| t.boot_ms);
-        let overdue = self.now.saturating_sub(machine.rented_at) > 2 * boot_ms;
+        let machine_type = self.machine_types.get(&machine.machine_type);
+        let boot_time = machine_type.map_or(Duration::ZERO, |machine_type| machine_type.boot_time);
+        let held = self.context.now().saturating_since(machine.rented_at);
+        let overdue = held > 2 * boot_time;
         machine.phase == MachinePhase::Booting && machine.confirmed_by_cloud && !overdue
     }
 
-    /// Whether a machine takes tasks now or is about to.
+    /// Whether a machine accepts tasks now or is about to.
     fn is_expected(&self, machine: &Machine) -> bool {
         machine.accepts_tasks() || self.is_booting(machine)
     }
 }
 
-/// A candidate's tasks for which there is no room, as the fleet's planning takes them.
-fn waiting_tasks<'a>(candidate: &Candidate<'a>, tasks: u32) -> WaitingJob<'a> {
+/// A candidate's tasks for which nothing is available, as the planning of rentals takes them.
+fn waiting_job<'a>(candidate: &Candidate<'a>, tasks: u32) -> WaitingJob<'a> {
     WaitingJob {
         job: candidate.job,
         tasks,
--- a/src/engine/autoscaling/returning.rs
+++ b/src/engine/autoscaling/scale_in.rs
@@ -1,10 +1,11 @@
-//! Returning: gives machines back to the cloud, and takes its answer as proof that their tasks
-//! are returned_machines.
+//! Scaling in: gives machines back to the cloud, and takes its response as proof that their tasks
+//! are gone.
 
 use super::MachineOffer;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
 use crate::constants;
-use crate::engine::{Engine, PendingCall, Role};
+use crate::engine::Engine;
+use crate::engine::messages::PendingCall;
 use crate::model::{Machine, MachineId, MachinePhase};
 
 impl Engine {
@@ -12,59 +13,57 @@
     /// says so; until then their tasks count as running.
     pub(super) fn scale_in(&mut self) {
         let lease_valid = self.holds_valid_lease();
-        let Role::Leader(leader) = &mut self.role else {
+        let now = self.context.now();
+        let Some(leader) = self.leadership.leader_mut() else {
             return;
         };
-        if !lease_valid || !leader.autoscaling.returns.due(self.now) {
+        if !lease_valid || !leader.autoscaling.returns.is_due(now) {
             return;
         }
-        let returning = |m: &&Machine| m.phase == MachinePhase::Returning;
+        let is_returning = |machine: &&Machine| machine.phase == MachinePhase::Returning;
         let machines: Vec<MachineId> = leader
             .machines
             .values()
-            .filter(returning)
+            .filter(is_returning)
             .take(constants::MAX_MACHINES_PER_RETURN)
-            .map(|m| m.id.clone())
+            .map(|machine| machine.id.clone())
             .collect();
         if !machines.is_empty() {
-            leader.autoscaling.returns.busy = true;
+            leader.autoscaling.returns.begin();
             let names = machines.iter().map(ToString::to_string).collect();
-            self.call_cloud(
-                PendingCall::ReturnMachines(machines),
-                CloudCall::Return(names),
-            );
+            let pending = PendingCall::ReturnMachines(machines);
+            self.outbox.call_cloud(pending, CloudCall::Return(names));
         }
     }
 
     /// The outcome of a return call.
-    pub(in crate::engine) fn on_returned(
+    pub(in crate::engine) fn on_machines_returned(
         &mut self,
         machines: Vec<MachineId>,
         result: Result<CloudReply, CloudError>,
     ) {
-        let now = self.now;
-        let Role::Leader(leader) = &mut self.role else {
+        let Some(leader) = self.leadership.leader_mut() else {
             return;
         };
-        if let Err(why) = result {
-            tracing::info!("returning failed: {why}");
-            leader.autoscaling.returns.failed(now, &mut self.rng);
-            return;
+        let returns = &mut leader.autoscaling.returns;
+        if let Err(error) = result {
+            tracing::info!(%error, "return failed");
+            return returns.failed(&mut self.context);
         }
-        leader.autoscaling.returns.worked(now);
-        leader.needs_scheduling = true;
+        returns.succeeded(self.context.now());
+        leader.scheduling.request();
         let mut lost_tasks = Vec::new();
         for id in machines {
             if let Some(machine) = leader.machines.remove(&id) {
                 // What was given back can be had again.
-                leader.autoscaling.refusals.remove(&MachineOffer {
+                leader.autoscaling.refusals.clear(&MachineOffer {
                     machine_type: machine.machine_type,
                     zone: machine.zone,
                     spot: machine.spot,
                 });
                 lost_tasks.extend(machine.tasks);
             }
-            leader.returned_machines.insert(id, ());
+            leader.remember_returned(id);
         }
         for task in lost_tasks {
             tracing::info!(%task, "task lost with its machine");
--- /dev/null
+++ b/src/engine/completion_steps.rs
@@ -0,0 +1,131 @@
+//! Writes what has completed, and applies what is durable.
+
+use super::Engine;
+use super::completions::{CompletionBatch, CompletionSources, WrittenProgress};
+use super::leadership::StepDownReason;
+use super::messages::PendingCall;
+use super::records::{self, LEADER_KEY, PROGRESS_PREFIX};
+use crate::model::{JobId, JobPhase};
+use crate::store::{StoreCall, StoreError, StoreReply};
+use crate::wire::user::JobState;
+
+impl Engine {
+    /// Writes one transaction of completions, if there is something to write.
+    pub(super) fn write_completions_when_due(&mut self) {
+        let Some(leader) = self.leadership.leader_mut() else {
+            return;
+        };
+        let sources = CompletionSources {
+            jobs: &self.jobs,
+            dependencies: &self.dependencies,
+            context: &self.context,
+            leader_version: leader.version(),
+        };
+        if let Some((transaction, batch)) = leader.completions.next_transaction(sources) {
+            let pending = PendingCall::WriteCompletions(batch);
+            self.outbox
+                .call_store(pending, StoreCall::Commit(transaction));
+        }
+    }
+
+    /// The outcome of such a transaction.
+    pub(super) fn on_completions_written(
+        &mut self,
+        batch: CompletionBatch,
+        result: Result<StoreReply, StoreError>,
+    ) {
+        match result {
+            Ok(StoreReply::Committed { revision }) => {
+                return self.on_completions_durable(batch, revision);
+            }
+            Err(StoreError::Conflict(failed)) if failed.iter().any(|key| key == LEADER_KEY) => {
+                return self.step_down(StepDownReason::CommitConflict);
+            }
+            Err(StoreError::Malformed(error)) => {
+                tracing::error!(%error, "completions rejected");
+            }
+            // A write without a response was carried out after all.
+            Err(StoreError::Conflict(failed)) => self.read_progress_records(failed),
+            _ => {}
+        }
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.completions.on_failed(batch, &mut self.context);
+        }
+    }
+
+    /// Reads the progress records among these keys: their versions are not known any more.
+    fn read_progress_records(&mut self, keys: Vec<String>) {
+        for key in keys {
+            if key.starts_with(PROGRESS_PREFIX) {
+                let pending = PendingCall::ReadProgressRecord { key: key.clone() };
+                self.outbox.call_store(pending, StoreCall::Get { key });
+            }
+        }
+    }
+
+    fn on_completions_durable(&mut self, batch: CompletionBatch, revision: u64) {
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.completions.on_committed(self.context.now());
+        }
+        for id in batch.unblocked {
+            self.on_unblocked_job_written(&id, revision);
+        }
+        for progress in batch.progress {
+            self.on_progress_durable(progress, revision);
+        }
+        for finished in batch.finished {
+            self.on_end_durable(&finished.job);
+            if let Some(leader) = self.leadership.leader_mut() {
+                for key in finished.progress_keys {
+                    leader.completions.add_removal(key);
+                }
+            }
+        }
+    }
+
+    fn on_progress_durable(&mut self, progress: WrittenProgress, revision: u64) {
+        let Some(job) = self.jobs.get_mut(&progress.job) else {
+            return;
+        };
+        let keys = progress.keys.into_iter();
+        job.progress_records.extend(keys.map(|key| (key, revision)));
+        for index in progress.tasks {
+            job.durable_completions.insert(index);
+        }
+    }
+
+    /// A progress record was read: its version is known again.
+    pub(super) fn on_progress_record_read(
+        &mut self,
+        key: &str,
+        result: Result<StoreReply, StoreError>,
+    ) {
+        let job = records::parse_progress_key(key).and_then(|(id, _)| self.jobs.get_mut(&id));
+        // Unread, it fails the next write as well and is read again.
+        if let (Ok(StoreReply::Item(item)), Some(job)) = (result, job) {
+            let version = item.map_or(0, |item| item.version);
+            job.progress_records.insert(key.to_owned(), version);
+        }
+    }
+
+    /// The end of a job is durable.
+    fn on_end_durable(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let state = match &mut job.phase {
+            JobPhase::Done { recorded } => {
+                *recorded = true;
+                JobState::Done
+            }
+            JobPhase::Cancelled => JobState::Cancelled,
+            // What was written is not known any more: the final record tells.
+            JobPhase::Open => return,
+        };
+        self.dependencies.record_final_state(id, state);
+        tracing::debug!(job = %id, ?state, "job is over");
+        if job.placements.is_empty() {
+            self.jobs.remove(id);
+        }
+    }
+}
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -1,331 +1,284 @@
-//! Writing what has ended: jobs that are done, progress of arrays, jobs that are cancelled and
-//! gone, and the removal of records nobody needs any more. Batched, one transaction at a time.
+//! What has to be written of completed and cancelled work: ends of jobs, progress of arrays, jobs
+//! that are not blocked any more, and the removal of records that nobody needs. Batched, one
+//! transaction at a time.
 
-use super::dependencies::add_blocked_job_update;
-use super::records::{self, LEAD, WorkRecord};
-use super::{Engine, PendingCall, Retry, Role};
+use super::context::Context;
+use super::dependencies::Dependencies;
+use super::jobs::Jobs;
+use super::records::{self, LEADER_KEY, ProgressRecord};
+use super::retry::Retry;
 use crate::constants;
-use crate::model::{Job, JobId, JobPhase, Ms};
-use crate::store::{StoreCall, StoreError, StoreReply};
+use crate::model::{Job, JobId, JobPhase, Timestamp};
 use crate::wire::store::Transaction;
 use crate::wire::user::JobState;
 use std::collections::{BTreeSet, VecDeque};
+use std::time::Duration;
 
+/// What waits to be written.
 #[derive(Debug, Default)]
 pub(super) struct Completions {
-    /// Jobs that are over.
+    /// Jobs that are done, or cancelled and gone from all machines.
     finished: BTreeSet<JobId>,
-    /// Arrays with completed tasks that are not on record.
+    /// Arrays with completed tasks that are not durable.
     progress: BTreeSet<JobId>,
-    /// Waiting jobs that may start, or are cancelled with one that they need.
+    /// Blocked jobs that may start, or are cancelled with a dependency.
     unblocked: BTreeSet<JobId>,
+    /// Keys of records that nobody needs.
     removals: VecDeque<String>,
     retry: Retry,
-    progress_at: Ms,
+    next_progress_at: Timestamp,
 }
 
 /// What one transaction wrote.
 #[derive(Debug, Default)]
 pub(super) struct CompletionBatch {
-    /// With the records of progress that are of no use any more.
-    finished: Vec<(JobId, Vec<String>)>,
-    /// Tasks, and the records that cover them.
-    progress: Vec<(JobId, Vec<u32>, Vec<String>)>,
-    unblocked: Vec<JobId>,
+    pub(super) finished: Vec<FinishedJob>,
+    pub(super) progress: Vec<WrittenProgress>,
+    pub(super) unblocked: Vec<JobId>,
     removals: Vec<String>,
 }
 
-impl Completions {
-    pub fn note(&mut self, job: &JobId, over: bool) {
-        let set = if over {
-            &mut self.finished
-        } else {
-            &mut self.progress
-        };
-        set.insert(job.clone());
-    }
+/// A job whose end was written.
+#[derive(Debug)]
+pub(super) struct FinishedJob {
+    pub(super) job: JobId,
+    /// Keys of its progress records, which nobody needs any more.
+    pub(super) progress_keys: Vec<String>,
+}
 
-    pub fn mark_unblocked(&mut self, job: &JobId) {
-        self.unblocked.insert(job.clone());
-    }
+/// Progress of an array that was written.
+#[derive(Debug)]
+pub(super) struct WrittenProgress {
+    pub(super) job: JobId,
+    /// Completed tasks that are news.
+    pub(super) tasks: Vec<u32>,
+    /// Keys of the records that cover them.
+    pub(super) keys: Vec<String>,
+}
 
-    pub fn remove(&mut self, key: String) {
-        self.removals.push_back(key);
-    }
+/// What a transaction of completions is made from.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct CompletionSources<'a> {
+    pub(super) jobs: &'a Jobs,
+    pub(super) dependencies: &'a Dependencies,
+    pub(super) context: &'a Context,
+    /// Version of the leader's key.
+    pub(super) leader_version: u64,
 }
 
 /// A transaction in the making, and what it writes.
 #[derive(Debug)]
 struct CompletionTransaction {
-    txn: Transaction,
+    transaction: Transaction,
     batch: CompletionBatch,
-    /// Changes that a transaction may have.
-    most: usize,
+    max_mutations: usize,
 }
 
-impl CompletionTransaction {
-    /// How many more changes fit.
-    fn space(&self) -> usize {
-        self.most.saturating_sub(self.txn.mutations.len())
+/// Mutations that the end of a job takes.
+const MUTATIONS_PER_FINISHED_JOB: usize = 2;
+
+impl Completions {
+    /// The job is done, or cancelled and gone from all machines.
+    pub(super) fn add_finished(&mut self, job: &JobId) {
+        self.finished.insert(job.clone());
     }
 
-    /// Adds what `write` puts into the transaction; whether it did.
-    fn add(&mut self, write: impl FnOnce(Transaction) -> Transaction) -> bool {
-        let before = self.txn.mutations.len();
-        self.txn = write(std::mem::take(&mut self.txn));
-        self.txn.mutations.len() > before
+    /// A task of the job, which is not done, has completed.
+    pub(super) fn add_progress(&mut self, job: &JobId) {
+        self.progress.insert(job.clone());
     }
-}
 
-/// Changes that the end of a job takes.
-const CHANGES_OF_AN_END: usize = 2;
+    /// These blocked jobs may start, or are cancelled with a dependency.
+    pub(super) fn add_unblocked(&mut self, jobs: Vec<JobId>) {
+        self.unblocked.extend(jobs);
+    }
 
-impl Engine {
-    /// Writes one transaction of what has ended, if none is under way: jobs' completions first, then waiting
-    /// jobs, and now and then progress and removals.
-    pub(super) fn write_completions_when_due(&mut self) {
-        let now = self.now;
-        let most = self.settings.cluster.state.txn_ops;
-        let Some(leader) = self.leader() else {
-            return;
-        };
-        if !leader.completions.retry.due(now) {
-            return;
+    /// Nobody needs the record under that key any more.
+    pub(super) fn add_removal(&mut self, key: String) {
+        self.removals.push_back(key);
+    }
+
+    /// The next transaction, if there is something to write and none is in flight: ends of jobs
+    /// first, then jobs that are not blocked any more, and now and then progress and removals.
+    pub(super) fn next_transaction(
+        &mut self,
+        sources: CompletionSources<'_>,
+    ) -> Option<(Transaction, CompletionBatch)> {
+        let now = sources.context.now();
+        if !self.retry.is_due(now) {
+            return None;
         }
-        let progress_is_due = now >= leader.completions.progress_at;
-        let mut draft = CompletionTransaction {
-            txn: Transaction::default().compare(LEAD, leader.version),
+        let state = &sources.context.settings().cluster.state;
+        let mut transaction = CompletionTransaction {
+            transaction: Transaction::default().compare(LEADER_KEY, sources.leader_version),
             batch: CompletionBatch::default(),
-            most,
+            max_mutations: state.txn_ops,
         };
-        self.add_finished_jobs(&mut draft);
-        self.add_unblocked_jobs(&mut draft);
-        if progress_is_due {
-            self.add_progress(&mut draft);
-            self.add_record_removals(&mut draft);
-            self.schedule_progress();
-        }
-        if draft.txn.mutations.is_empty() {
-            return;
+        self.write_finished_jobs(&mut transaction, sources);
+        self.write_unblocked_jobs(&mut transaction, sources);
+        if now >= self.next_progress_at {
+            self.write_progress(&mut transaction, sources);
+            self.write_removals(&mut transaction);
+            self.next_progress_at = now + progress_interval(state.write_rps);
         }
-        if let Some(leader) = self.leader_mut() {
-            leader.completions.retry.busy = true;
+        if transaction.transaction.mutations.is_empty() {
+            return None;
         }
-        self.call_store(
-            PendingCall::WriteCompletions(draft.batch),
-            StoreCall::Commit(draft.txn),
-        );
+        self.retry.begin();
+        Some((transaction.transaction, transaction.batch))
     }
 
-    /// Jobs that are done, or cancelled and gone from all machines.
-    fn add_finished_jobs(&mut self, draft: &mut CompletionTransaction) {
-        let Role::Leader(leader) = &mut self.role else {
-            return;
-        };
-        while let Some(id) = leader.completions.finished.pop_first() {
-            let Some(job) = self.jobs.get(&id) else {
+    fn write_finished_jobs(
+        &mut self,
+        transaction: &mut CompletionTransaction,
+        sources: CompletionSources<'_>,
+    ) {
+        while let Some(id) = self.finished.pop_first() {
+            let Some(job) = sources.jobs.get(&id) else {
                 continue;
             };
-            if draft.space() < CHANGES_OF_AN_END {
-                leader.completions.finished.insert(id);
+            if transaction.space() < MUTATIONS_PER_FINISHED_JOB {
+                self.finished.insert(id);
                 break;
             }
-            let tasks = u64::from(job.spec.tasks);
-            let written = draft.add(|txn| match job.phase {
-                JobPhase::Done { recorded: false } => {
-                    records::end(txn, &id.0, job.version, JobState::Done, tasks)
-                }
-                JobPhase::Cancelled if job.placements.is_empty() => {
-                    txn.delete(records::job_key(&id.0))
-                }
-                _ => txn,
-            });
-            if written {
-                // Named now: when the answer comes, the watch may have removed the job already.
-                let keys = job.progress_records.keys().cloned().collect();
-                draft.batch.finished.push((id, keys));
+            if transaction.add(|transaction| finish(transaction, &id, job)) {
+                // Named now: when the response comes, the watch may have removed the job already.
+                let progress_keys = job.progress_records.keys().cloned().collect();
+                transaction.batch.finished.push(FinishedJob {
+                    job: id,
+                    progress_keys,
+                });
             }
         }
     }
 
-    /// Waiting jobs that may start, or are cancelled with one that they need.
-    fn add_unblocked_jobs(&mut self, draft: &mut CompletionTransaction) {
-        let Role::Leader(leader) = &mut self.role else {
-            return;
-        };
-        while draft.space() >= CHANGES_OF_AN_END
-            && let Some(id) = leader.completions.unblocked.pop_first()
+    fn write_unblocked_jobs(
+        &mut self,
+        transaction: &mut CompletionTransaction,
+        sources: CompletionSources<'_>,
+    ) {
+        let unix_time = sources.context.unix_time();
+        while transaction.space() >= MUTATIONS_PER_FINISHED_JOB
+            && let Some(id) = self.unblocked.pop_first()
         {
-            if draft.add(|txn| add_blocked_job_update(&self.dependencies, &id, self.unix_ms, txn)) {
-                draft.batch.unblocked.push(id);
+            let dependencies = sources.dependencies;
+            if transaction.add(|txn| dependencies.add_unblocked_job(&id, unix_time, txn)) {
+                transaction.batch.unblocked.push(id);
             }
         }
     }
 
-    /// Completed tasks of arrays that are not on record. What does not fit is written the next time.
-    fn add_progress(&mut self, draft: &mut CompletionTransaction) {
-        let Role::Leader(leader) = &mut self.role else {
-            return;
-        };
-        while let Some(id) = leader.completions.progress.pop_first() {
-            let Some(job) = self.jobs.get(&id).filter(|job| job.is_open()) else {
+    /// Completed tasks of arrays that are not durable. What does not fit is written the next time.
+    fn write_progress(
+        &mut self,
+        transaction: &mut CompletionTransaction,
+        sources: CompletionSources<'_>,
+    ) {
+        while let Some(id) = self.progress.pop_first() {
+            let Some(job) = sources.jobs.get(&id).filter(|job| job.is_open()) else {
                 continue;
             };
-            if !add_progress_of_job(draft, &id, job) {
-                leader.completions.progress.insert(id);
+            if !transaction.add_progress_of(&id, job) {
+                self.progress.insert(id);
                 break;
             }
         }
     }
 
-    /// Records that nobody needs.
-    fn add_record_removals(&mut self, draft: &mut CompletionTransaction) {
-        let Role::Leader(leader) = &mut self.role else {
-            return;
-        };
-        while draft.space() > 0
-            && let Some(key) = leader.completions.removals.pop_front()
+    fn write_removals(&mut self, transaction: &mut CompletionTransaction) {
+        while transaction.space() > 0
+            && let Some(key) = self.removals.pop_front()
         {
-            draft.add(|txn| txn.delete(&key));
-            draft.batch.removals.push(key);
+            transaction.add(|transaction| transaction.delete(&key));
+            transaction.batch.removals.push(key);
         }
     }
 
-    fn schedule_progress(&mut self) {
-        let rate = self.settings.cluster.state.write_rps;
-        let pause = (1000.0 * constants::PROGRESS_WRITE_INTERVAL_CHANGES / rate) as u64;
-        let at = self.now + constants::PROGRESS_WRITE_INTERVAL_MS.max(pause);
-        if let Some(leader) = self.leader_mut() {
-            leader.completions.progress_at = at;
-        }
+    /// The transaction in flight is durable.
+    pub(super) fn on_committed(&mut self, now: Timestamp) {
+        self.retry.succeeded(now);
     }
 
-    /// The outcome of such a transaction.
-    pub(super) fn on_completions_written(
-        &mut self,
-        batch: CompletionBatch,
-        result: Result<StoreReply, StoreError>,
-    ) {
-        match result {
-            Ok(StoreReply::Committed { revision }) => {
-                return self.on_batch_durable(batch, revision);
-            }
-            Err(StoreError::Conflict(failed)) if failed.iter().any(|f| f == LEAD) => {
-                return self.step_down("a commit found another leader");
-            }
-            Err(StoreError::Malformed(why)) => tracing::error!("completions refused: {why}"),
-            // A write without an answer was carried out after all.
-            Err(StoreError::Conflict(failed)) => {
-                for key in failed.iter().filter(|key| key.starts_with(records::WORK)) {
-                    let key = key.clone();
-                    self.call_store(
-                        PendingCall::ReadProgressRecord { key: key.clone() },
-                        StoreCall::Get { key },
-                    );
-                }
-            }
-            _ => {}
-        }
-        self.write_batch_again(batch);
+    /// The transaction in flight is not durable, or not known to be: everything in it is written
+    /// again.
+    pub(super) fn on_failed(&mut self, batch: CompletionBatch, context: &mut Context) {
+        self.retry.failed(context);
+        let finished = batch.finished.into_iter();
+        self.finished.extend(finished.map(|finished| finished.job));
+        let progress = batch.progress.into_iter();
+        self.progress.extend(progress.map(|progress| progress.job));
+        self.unblocked.extend(batch.unblocked);
+        self.removals.extend(batch.removals);
     }
+}
 
-    fn on_batch_durable(&mut self, batch: CompletionBatch, revision: u64) {
-        let now = self.now;
-        if let Some(leader) = self.leader_mut() {
-            leader.completions.retry.worked(now);
-        }
-        for id in batch.unblocked {
-            self.on_blocked_job_written(&id, revision);
-        }
-        for (id, tasks, keys) in batch.progress {
-            if let Some(job) = self.jobs.get_mut(&id) {
-                let keys = keys.into_iter().map(|key| (key, revision));
-                job.progress_records.extend(keys);
-                for index in tasks {
-                    job.durable_completions.insert(index);
-                }
-            }
+/// Time between two writes of progress and removals, where so many changes a second are allowed.
+fn progress_interval(changes_per_second: f64) -> Duration {
+    let millis = (1000.0 * constants::PROGRESS_WRITE_INTERVAL_CHANGES / changes_per_second) as u64;
+    constants::PROGRESS_WRITE_INTERVAL.max(Duration::from_millis(millis))
+}
+
+/// Adds a job's end to a transaction, if it has come to one.
+fn finish(transaction: Transaction, id: &JobId, job: &Job) -> Transaction {
+    match job.phase {
+        JobPhase::Done { recorded: false } => {
+            let tasks = u64::from(job.spec.tasks);
+            records::finish_job(transaction, &id.0, job.version, JobState::Done, tasks)
         }
-        for (id, keys) in batch.finished {
-            self.on_completion_recorded(&id);
-            if let Some(leader) = self.leader_mut() {
-                leader.completions.removals.extend(keys);
-            }
+        // Its final record was written with the cancellation.
+        JobPhase::Cancelled if job.placements.is_empty() => {
+            transaction.delete(records::job_key(&id.0))
         }
+        _ => transaction,
     }
+}
 
-    /// Not written, or not known to be: everything in it may be written twice.
-    fn write_batch_again(&mut self, batch: CompletionBatch) {
-        let Role::Leader(leader) = &mut self.role else {
-            return;
-        };
-        let completions = &mut leader.completions;
-        completions.retry.failed(self.now, &mut self.rng);
-        completions
-            .finished
-            .extend(batch.finished.into_iter().map(|(id, _)| id));
-        let progress = batch.progress.into_iter().map(|(id, ..)| id);
-        completions.progress.extend(progress);
-        completions.unblocked.extend(batch.unblocked);
-        completions.removals.extend(batch.removals);
+impl CompletionTransaction {
+    /// How many more mutations fit.
+    fn space(&self) -> usize {
+        self.max_mutations
+            .saturating_sub(self.transaction.mutations.len())
     }
 
-    pub(super) fn on_progress_read(&mut self, key: &str, result: Result<StoreReply, StoreError>) {
-        let job = records::work_of_key(key).and_then(|(id, _)| self.jobs.get_mut(&id));
-        // Unread, it fails the next write as well and is read again.
-        if let (Ok(StoreReply::Item(item)), Some(job)) = (result, job) {
-            let version = item.map_or(0, |item| item.version);
-            job.progress_records.insert(key.to_owned(), version);
-        }
+    /// Adds what `write` puts into the transaction; whether that was anything.
+    fn add(&mut self, write: impl FnOnce(Transaction) -> Transaction) -> bool {
+        let before = self.transaction.mutations.len();
+        self.transaction = write(std::mem::take(&mut self.transaction));
+        self.transaction.mutations.len() > before
     }
 
-    /// The end of a job is on record.
-    fn on_completion_recorded(&mut self, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
-        };
-        let state = match &mut job.phase {
-            JobPhase::Done { recorded } => {
-                *recorded = true;
-                JobState::Done
-            }
-            JobPhase::Cancelled => JobState::Cancelled,
-            // What was written is not known any more: the final record tells.
-            JobPhase::Open => return,
-        };
-        self.dependencies.record_final_state(id, state);
-        tracing::debug!(job = %id, phase = ?job.phase, "job is over");
-        if job.placements.is_empty() {
-            self.jobs.remove(id);
+    /// Adds the progress records that cover a job's completed tasks that are not durable; whether
+    /// all of them fit.
+    fn add_progress_of(&mut self, id: &JobId, job: &Job) -> bool {
+        let is_news = |index: &u32| !job.durable_completions.contains(*index);
+        let part_of = |index: u32| index / constants::PROGRESS_RECORD_TASKS;
+        let parts: BTreeSet<u32> = job.completed.iter().filter(is_news).map(part_of).collect();
+        let fitting: BTreeSet<u32> = parts.iter().take(self.space()).copied().collect();
+        let mut keys = Vec::new();
+        for part in &fitting {
+            let record = ProgressRecord {
+                done: job.completed.part_text(*part),
+            };
+            // An older write that is carried out late must not undo this one.
+            let key = records::progress_key(id, job.spec.tasks, *part);
+            let version = job.progress_records.get(&key).copied().unwrap_or(0);
+            self.add(|transaction| {
+                transaction
+                    .compare(&key, version)
+                    .put(&key, records::to_value(&record))
+            });
+            keys.push(key);
         }
-    }
-}
-
-/// Adds the records that cover a job's tasks that are done and not on record; whether all of them fit.
-fn add_progress_of_job(draft: &mut CompletionTransaction, id: &JobId, job: &Job) -> bool {
-    let is_news = |index: &u32| !job.durable_completions.contains(*index);
-    let part_of = |index: u32| index / constants::PROGRESS_RECORD_TASKS;
-    let parts: BTreeSet<u32> = job.completed.iter().filter(is_news).map(part_of).collect();
-    let fitting: BTreeSet<u32> = parts.iter().take(draft.space()).copied().collect();
-    let mut keys = Vec::new();
-    for part in &fitting {
-        let record = WorkRecord {
-            done: job.completed.part_text(*part),
-        };
-        // An older write that is carried out late must not undo this one.
-        let key = records::work_key(id, job.spec.tasks, *part);
-        let version = job.progress_records.get(&key).copied().unwrap_or(0);
-        draft.add(|txn| {
-            txn.compare(&key, version)
-                .put(&key, records::value(&record))
+        let news = job.completed.iter().filter(is_news);
+        let news = news.filter(|index| fitting.contains(&part_of(*index)));
+        self.batch.progress.push(WrittenProgress {
+            job: id.clone(),
+            tasks: news.collect(),
+            keys,
         });
-        keys.push(key);
+        fitting.len() == parts.len()
     }
-    let news = job.completed.iter().filter(is_news);
-    let news = news.filter(|index| fitting.contains(&part_of(*index)));
-    draft
-        .batch
-        .progress
-        .push((id.clone(), news.collect(), keys));
-    fitting.len() == parts.len()
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/engine/dependencies.rs
+++ b/src/engine/dependencies.rs
@@ -1,21 +1,25 @@
-//! Jobs that wait for others to be done. They are kept apart from those that can run, so that they
-//! hold nothing, preempt nobody and have nothing rented for them.
+//! Jobs that wait for their dependencies. They are kept apart from those that may run, so that
+//! they hold nothing, preempt nobody and have nothing rented for them.
 //!
-//! What a job awaits is in its own record. That all of it is done follows from final records, which
-//! never change; the leader then takes the names out of the record, on condition of its leadership and
-//! of the record's version, and only that makes the job one that a round may start. That one is
-//! cancelled follows from the records of those that it needs, at any node, with no second write.
+//! What a job depends on is in its own record. That all of it is done follows from final records,
+//! which never change; the leader then takes the names out of the record, on condition of its
+//! leadership and of the record's version, and only that makes the job one that a round may start.
+//! That a dependency is cancelled follows from the records of those that it depends on itself, at
+//! any node, with no second write.
 
+use super::context::Context;
 use super::records::{self, JobRecord};
-use super::{Engine, PendingCall, Reply, ReplyId, Retry};
+use super::retry::Retry;
 use crate::constants;
-use crate::model::dependencies::{self, DependencyGraph, DependencyState, UpstreamState};
-use crate::model::{InheritedUrgency, Job, JobId, JobPhase, JobSpec, Ms};
-use crate::store::{StoreCall, StoreError, StoreReply};
+use crate::model::dependencies::{
+    DependencyGraph, DependencyState, UpstreamState, evaluate, inherit_urgency,
+};
+use crate::model::{InheritedUrgency, JobId, JobSpec, Timestamp, UnixTime};
 use crate::wire::store::Transaction;
 use crate::wire::user::JobState;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A job that waits for its dependencies.
 #[derive(Debug)]
 struct BlockedJob {
     record: JobRecord,
@@ -25,335 +29,254 @@
     state: DependencyState,
 }
 
-/// A question that waits for news from the state service newer than itself.
-#[derive(Debug)]
-struct PendingQuery {
-    job: JobId,
-    reply: ReplyId,
-    at: Ms,
-    /// Refreshes begun before it.
-    refreshes: u64,
-}
-
+/// The blocked jobs, and what is known of the jobs that they depend on.
 #[derive(Debug, Default)]
 pub(super) struct Dependencies {
     blocked: BTreeMap<JobId, BlockedJob>,
-    /// Final states of jobs that steps name, as written or read here.
+    /// Final states of jobs that blocked ones depend on, as written or read here.
     final_states: BTreeMap<JobId, JobState>,
-    /// Reads of the others.
+    /// Reads of the final states that are not known.
     final_record_reads: BTreeMap<JobId, Retry>,
-    changed: bool,
-    queries: Vec<PendingQuery>,
-    refreshes: u64,
-    refreshing: bool,
-    refresh_at: Ms,
+    evaluation_requested: bool,
+}
+
+/// What follows from an evaluation of all blocked jobs.
+#[derive(Debug)]
+pub(super) struct Evaluation {
+    /// Urgency that jobs inherit from blocked ones.
+    pub(super) inherited: BTreeMap<JobId, InheritedUrgency>,
+    /// Blocked jobs that may start, or are cancelled with a dependency.
+    pub(super) unblocked: Vec<JobId>,
+}
+
+/// A blocked job whose record was rewritten or replaced by a final one.
+#[derive(Debug)]
+pub(super) enum UnblockedJob {
+    /// Its dependencies are done: it may run, by this record.
+    Ready(Box<JobRecord>),
+    /// It is cancelled with a dependency.
+    Cancelled,
 }
 
 impl Dependencies {
-    pub fn version(&self, id: &JobId) -> Option<u64> {
-        self.blocked.get(id).map(|blocked_job| blocked_job.version)
+    /// Version of a blocked job's record.
+    pub(super) fn version(&self, id: &JobId) -> Option<u64> {
+        self.blocked.get(id).map(|job| job.version)
     }
 
-    pub fn ids(&self) -> impl Iterator<Item = &JobId> {
+    /// The blocked jobs.
+    pub(super) fn blocked_ids(&self) -> impl Iterator<Item = &JobId> {
         self.blocked.keys()
     }
 
-    pub fn put(&mut self, id: JobId, record: JobRecord, version: u64) {
-        let blocked_job = BlockedJob {
+    /// The state of a blocked job's dependencies; `None` if the job is not blocked.
+    pub(super) fn state(&self, id: &JobId) -> Option<DependencyState> {
+        self.blocked.get(id).map(|job| job.state)
+    }
+
+    /// Adds a blocked job, or replaces its record.
+    pub(super) fn insert(&mut self, id: JobId, record: JobRecord, version: u64) {
+        let depends_on = record.job.depends_on.iter();
+        let job = BlockedJob {
             spec: JobSpec::from(&record.job),
-            depends_on: record
-                .job
-                .depends_on
-                .iter()
-                .map(|a| (&**a).into())
-                .collect(),
+            depends_on: depends_on.map(|id| JobId::from(id.as_str())).collect(),
             record,
             version,
             state: DependencyState::Unknown,
         };
-        self.blocked.insert(id, blocked_job);
-        self.changed = true;
+        self.blocked.insert(id, job);
+        self.evaluation_requested = true;
     }
 
-    /// The record of the job is another one now, or gone.
-    pub fn remove(&mut self, id: &JobId) {
-        self.changed |= self.blocked.remove(id).is_some();
+    /// The job is not blocked any more, or its record is gone.
+    pub(super) fn remove(&mut self, id: &JobId) {
+        self.evaluation_requested |= self.blocked.remove(id).is_some();
     }
 
-    /// Something that steps may depend on has changed.
-    pub fn mark_changed(&mut self) {
-        self.changed |= !self.blocked.is_empty();
+    /// Something that blocked jobs may depend on has changed.
+    pub(super) fn request_evaluation(&mut self) {
+        self.evaluation_requested |= !self.blocked.is_empty();
     }
 
-    /// The job's end is durable.
-    pub fn record_final_state(&mut self, id: &JobId, state: JobState) {
+    /// The final state of a job is durable.
+    pub(super) fn record_final_state(&mut self, id: &JobId, state: JobState) {
         if !self.blocked.is_empty() {
             self.final_states.insert(id.clone(), state);
-            self.changed = true;
+            self.evaluation_requested = true;
         }
     }
-}
 
-/// Adds to a transaction what a step's standing asks for: the record of a job that may start, or
-/// the end of one that is cancelled with another.
-pub(super) fn add_blocked_job_update(
-    dependencies: &Dependencies,
-    id: &JobId,
-    unix_ms: u64,
-    txn: Transaction,
-) -> Transaction {
-    let Some(blocked_job) = dependencies.blocked.get(id) else {
-        return txn;
-    };
-    match blocked_job.state {
-        DependencyState::Satisfied => {
-            let placements = records::job_key(&id.0);
-            let record = blocked_job.record.clone().ready(unix_ms);
-            txn.compare(&placements, blocked_job.version)
-                .put(placements, records::job_value(&record))
-        }
-        DependencyState::Cancelled => {
-            let tasks = blocked_job.record.job.tasks;
-            records::end(txn, &id.0, blocked_job.version, JobState::Cancelled, tasks)
+    /// What is known of a job that is not blocked: its final state, or what `known` tells.
+    pub(super) fn upstream_state(
+        &self,
+        id: &JobId,
+        known: impl Fn(&JobId) -> UpstreamState,
+    ) -> UpstreamState {
+        match self.final_states.get(id) {
+            Some(JobState::Done) => UpstreamState::Done,
+            Some(JobState::Cancelled) => UpstreamState::Cancelled,
+            _ => known(id),
         }
-        DependencyState::Waiting | DependencyState::Unknown => txn,
     }
-}
 
-impl Engine {
-    /// Works out how all steps stand, if something has changed.
-    pub(super) fn evaluate_dependencies(&mut self) {
-        if !std::mem::take(&mut self.dependencies.changed) {
-            return;
+    /// Evaluates all blocked jobs, if something has changed since the last time. `known` tells what
+    /// is known of a job that is not blocked, apart from final states.
+    pub(super) fn evaluate(
+        &mut self,
+        known: impl Fn(&JobId) -> UpstreamState,
+    ) -> Option<Evaluation> {
+        if !std::mem::take(&mut self.evaluation_requested) {
+            return None;
         }
-        let blocked = &self.dependencies.blocked;
-        let waiting: DependencyGraph<'_> = blocked
+        let graph: DependencyGraph<'_> = self
+            .blocked
             .iter()
-            .map(|(id, blocked_job)| (id, &*blocked_job.depends_on))
+            .map(|(id, job)| (id, &*job.depends_on))
             .collect();
-        let order = dependencies::evaluate(&waiting, |id| self.upstream_state(id));
-        let own_urgency = |id: &JobId| {
-            let blocked_job = blocked.get(id)?;
-            Some(InheritedUrgency {
-                priority: blocked_job.spec.priority,
-                deadline: blocked_job.spec.deadline(blocked_job.record.at_ms),
-            })
-        };
-        let inherited = dependencies::inherit_urgency(&waiting, &order, own_urgency);
-        let named = || blocked.values().flat_map(|s| &s.depends_on);
-        let unknown = named().filter(|id| {
-            !blocked.contains_key(*id) && self.upstream_state(id) == UpstreamState::Unknown
-        });
-        let unknown: BTreeSet<JobId> = unknown.cloned().collect();
-        let mut final_states = BTreeMap::new();
-        for id in named() {
-            if let Some(state) = self.dependencies.final_states.get(id) {
-                final_states.insert(id.clone(), *state);
-            }
-        }
-        let order: Vec<(JobId, DependencyState)> =
-            order.into_iter().map(|(id, s)| (id.clone(), s)).collect();
-        for (id, job) in &mut self.jobs {
-            job.inherited = inherited.get(id).copied();
-        }
-        let dependencies = &mut self.dependencies;
-        dependencies.final_states = final_states;
-        dependencies
-            .final_record_reads
-            .retain(|id, _| unknown.contains(id));
-        for id in unknown {
-            dependencies.final_record_reads.entry(id).or_default();
-        }
-        let loaded = self.leader().is_some_and(|l| l.recovery.is_none());
-        for (id, state) in order {
-            if let Some(blocked_job) = self.dependencies.blocked.get_mut(&id) {
-                blocked_job.state = state;
-            }
-            if loaded
-                && matches!(
-                    state,
-                    DependencyState::Satisfied | DependencyState::Cancelled
-                )
-                && let Some(leader) = self.leader_mut()
-            {
-                leader.completions.mark_unblocked(&id);
-            }
-        }
-        if let Some(leader) = self.leader_mut() {
-            leader.needs_scheduling = true;
-        }
+        let order = evaluate(&graph, |id| self.upstream_state(id, &known));
+        let inherited = inherit_urgency(&graph, &order, |id| self.own_urgency(id));
+        let states: Vec<(JobId, DependencyState)> = order
+            .into_iter()
+            .map(|(id, state)| (id.clone(), state))
+            .collect();
+        self.update_final_record_reads(&known);
+        let unblocked = self.update_states(states);
+        Some(Evaluation {
+            inherited,
+            unblocked,
+        })
     }
 
-    /// What is known of a job that is no step.
-    fn upstream_state(&self, id: &JobId) -> UpstreamState {
-        match (self.dependencies.final_states.get(id), self.jobs.get(id)) {
-            (Some(JobState::Done), _) => UpstreamState::Done,
-            (Some(JobState::Cancelled), _) => UpstreamState::Cancelled,
-            (_, Some(job)) if job.phase == JobPhase::Cancelled => UpstreamState::Cancelled,
-            (_, Some(_)) => UpstreamState::Open,
-            _ if self.unreadable.contains(&records::job_key(&id.0)) => UpstreamState::Open,
-            _ => UpstreamState::Unknown,
-        }
+    fn own_urgency(&self, id: &JobId) -> Option<InheritedUrgency> {
+        let job = self.blocked.get(id)?;
+        Some(InheritedUrgency {
+            priority: job.spec.priority,
+            deadline: job.spec.deadline_at(job.record.submitted_at),
+        })
     }
 
-    /// What [`write_step`] asked for is durable.
-    pub(super) fn on_blocked_job_written(&mut self, id: &JobId, revision: u64) {
-        let Some(blocked_job) = self.dependencies.blocked.remove(id) else {
-            return;
+    /// Keeps the final states and the reads that blocked jobs still need, and adds reads of what is
+    /// not known.
+    fn update_final_record_reads(&mut self, known: impl Fn(&JobId) -> UpstreamState) {
+        let needed: BTreeSet<&JobId> = self
+            .blocked
+            .values()
+            .flat_map(|job| &job.depends_on)
+            .collect();
+        let is_unknown = |id: &&&JobId| {
+            !self.blocked.contains_key(**id)
+                && self.upstream_state(id, &known) == UpstreamState::Unknown
         };
-        self.dependencies.changed = true;
-        match blocked_job.state {
-            DependencyState::Cancelled => self
-                .dependencies
-                .record_final_state(id, JobState::Cancelled),
-            // Some ms after the time that was written: near enough for the order of jobs.
-            _ => self.admit(id, &blocked_job.record.ready(self.unix_ms), revision),
+        let unknown: BTreeSet<JobId> = needed
+            .iter()
+            .filter(is_unknown)
+            .map(|id| (*id).clone())
+            .collect();
+        self.final_states.retain(|id, _| needed.contains(id));
+        self.final_record_reads.retain(|id, _| unknown.contains(id));
+        for id in unknown {
+            self.final_record_reads.entry(id).or_default();
         }
     }
 
-    /// A job that can run, seen for the first time.
-    pub(super) fn admit(&mut self, id: &JobId, record: &JobRecord, version: u64) {
-        let spec = JobSpec::from(&record.job);
-        tracing::debug!(job = %id, class = %spec.class, tasks = spec.tasks, "job seen");
-        let ready = record.ready_ms.unwrap_or(record.at_ms);
-        self.arrival_history.note(ready, id, &spec);
-        let mut job = Job::new(spec, version, record.at_ms, JobPhase::Open, self.now);
-        job.ready_at = ready;
-        self.jobs.insert(id.clone(), job);
-        self.dependencies.mark_changed();
+    /// Sets the states; the jobs that are not blocked any more by them.
+    fn update_states(&mut self, states: Vec<(JobId, DependencyState)>) -> Vec<JobId> {
+        let mut unblocked = Vec::new();
+        for (id, state) in states {
+            if let Some(job) = self.blocked.get_mut(&id) {
+                job.state = state;
+            }
+            if matches!(
+                state,
+                DependencyState::Satisfied | DependencyState::Cancelled
+            ) {
+                unblocked.push(id);
+            }
+        }
+        unblocked
     }
 
-    /// Reads what is not known, and has what is known made fresh for those who ask.
-    pub(super) fn advance_dependencies(&mut self) {
-        let now = self.now;
-        self.evaluate_dependencies();
-        let final_record_reads = &mut self.dependencies.final_record_reads;
-        let busy = final_record_reads.values().filter(|read| read.busy).count();
-        let due = final_record_reads
+    /// Begins the reads of final records that are due, within their bound; the jobs to read.
+    pub(super) fn begin_final_record_reads(&mut self, now: Timestamp) -> Vec<JobId> {
+        let reads = self.final_record_reads.values();
+        let in_flight = reads.filter(|read| read.is_in_flight()).count();
+        let free = constants::MAX_FINAL_RECORD_READS.saturating_sub(in_flight);
+        let due = self
+            .final_record_reads
             .iter_mut()
-            .filter(|(_, read)| read.due(now));
-        let free = constants::MAX_FINAL_RECORD_READS.saturating_sub(busy);
-        let due: Vec<JobId> = due
-            .take(free)
+            .filter(|(_, read)| read.is_due(now));
+        due.take(free)
             .map(|(id, read)| {
-                read.busy = true;
+                read.begin();
                 id.clone()
             })
-            .collect();
-        for job in due {
-            let key = records::final_key(&job.0);
-            self.call_store(PendingCall::ReadFinalRecord { job }, StoreCall::Get { key });
-        }
-        let dependencies = &mut self.dependencies;
-        let fresh = |queries: &PendingQuery| queries.refreshes < dependencies.refreshes;
-        let waits = dependencies.queries.iter().any(|queries| !fresh(queries));
-        if waits && !dependencies.refreshing && now >= dependencies.refresh_at {
-            let Some(after) = self.revision else {
-                return self.answer_queries(|_| true);
-            };
-            dependencies.refreshing = true;
-            dependencies.refresh_at = now + constants::REFRESH_INTERVAL_MS;
-            let call = StoreCall::Watch {
-                prefix: records::LIVE.into(),
-                after,
-                wait_ms: 0,
-            };
-            self.call_store(
-                PendingCall::RefreshLiveRecords {
-                    sent_at: now,
-                    after,
-                },
-                call,
-            );
-        }
-        self.answer_queries(|queries| now > queries.at + constants::MAX_QUERY_AGE_MS);
+            .collect()
     }
 
+    /// The final record of a job was read; `None` if it has none or the read failed.
     pub(super) fn on_final_record_read(
         &mut self,
-        job: &JobId,
-        result: Result<StoreReply, StoreError>,
+        id: &JobId,
+        state: Option<JobState>,
+        context: &mut Context,
     ) {
-        let now = self.now;
-        let record = match result {
-            Ok(StoreReply::Item(Some(item))) => records::read_final(item.value),
-            _ => None,
-        };
-        match (record, self.dependencies.final_record_reads.get_mut(job)) {
-            (Some(record), _) => {
-                self.dependencies.final_record_reads.remove(job);
-                self.dependencies.record_final_state(job, record.state);
+        match (state, self.final_record_reads.get_mut(id)) {
+            (Some(state), _) => {
+                self.final_record_reads.remove(id);
+                self.record_final_state(id, state);
             }
             // Its live record is on its way here, or the state service can't be asked.
-            (None, Some(read)) => read.failed(now, &mut self.rng),
+            (None, Some(read)) => read.failed(context),
             (None, None) => {}
         }
     }
 
-    pub(super) fn on_blocked_job_query(&mut self, job: JobId, reply: ReplyId) {
-        if self.dependencies.queries.len() >= constants::MAX_USER_CALLS {
-            return self.reply(reply, Reply::Unavailable);
-        }
-        self.dependencies.queries.push(PendingQuery {
-            job,
-            reply,
-            at: self.now,
-            refreshes: self.dependencies.refreshes + u64::from(self.dependencies.refreshing),
-        });
-    }
-
-    pub(super) fn on_refreshed(
-        &mut self,
-        sent_at: Ms,
-        after: u64,
-        result: Result<StoreReply, StoreError>,
-    ) {
-        self.dependencies.refreshing = false;
-        // If the records are being listed anew, or were, the changes may not join what is known.
-        let joins = self.revision.is_some_and(|known| known >= after);
-        match result {
-            Ok(StoreReply::Changes(changes)) if joins => {
-                self.apply_changes(sent_at, changes);
-                self.dependencies.refreshes += 1;
-                self.evaluate_dependencies();
-                self.answer_queries(|_| false);
+    /// Adds to a transaction what the state of a blocked job asks for: the record of a job that may
+    /// start, or the end of one that is cancelled with a dependency.
+    pub(super) fn add_unblocked_job(
+        &self,
+        id: &JobId,
+        now: UnixTime,
+        transaction: Transaction,
+    ) -> Transaction {
+        let Some(job) = self.blocked.get(id) else {
+            return transaction;
+        };
+        match job.state {
+            DependencyState::Satisfied => {
+                let key = records::job_key(&id.0);
+                let record = job.record.clone().ready(now);
+                transaction
+                    .compare(&key, job.version)
+                    .put(key, records::job_value(&record))
+            }
+            DependencyState::Cancelled => {
+                let tasks = job.record.job.tasks;
+                let state = JobState::Cancelled;
+                records::finish_job(transaction, &id.0, job.version, state, tasks)
             }
-            _ => self.answer_queries(|_| true),
+            DependencyState::Waiting | DependencyState::Unknown => transaction,
         }
     }
 
-    /// Answers those whose jobs' standing is known by news newer than the question, and tells the
-    /// others that it is not if `give_up` says so.
-    fn answer_queries(&mut self, give_up: impl Fn(&PendingQuery) -> bool) {
-        let mut rest = Vec::new();
-        for queries in std::mem::take(&mut self.dependencies.queries) {
-            let fresh = queries.refreshes < self.dependencies.refreshes;
-            let blocked_job = self.dependencies.blocked.get(&queries.job);
-            let known = match blocked_job.map(|blocked_job| blocked_job.state) {
-                _ if !fresh => None,
-                Some(DependencyState::Unknown) => None,
-                Some(DependencyState::Cancelled) => {
-                    Some(Reply::BlockedJobState(Some(JobState::Cancelled)))
-                }
-                Some(_) => Some(Reply::BlockedJobState(Some(JobState::Queued))),
-                None => Some(Reply::BlockedJobState(None)),
-            };
-            match known {
-                Some(answer) => self.reply(queries.reply, answer),
-                None if give_up(&queries) => self.reply(queries.reply, Reply::Unavailable),
-                None => rest.push(queries),
+    /// What [`Dependencies::add_unblocked_job`] added is durable: the job is not blocked any more.
+    pub(super) fn on_unblocked_job_written(
+        &mut self,
+        id: &JobId,
+        now: UnixTime,
+    ) -> Option<UnblockedJob> {
+        let job = self.blocked.remove(id)?;
+        self.evaluation_requested = true;
+        match job.state {
+            DependencyState::Cancelled => {
+                self.record_final_state(id, JobState::Cancelled);
+                Some(UnblockedJob::Cancelled)
             }
+            // Some ms after the time that was written: near enough for the order of jobs.
+            _ => Some(UnblockedJob::Ready(Box::new(job.record.ready(now)))),
         }
-        self.dependencies.queries = rest;
-    }
-
-    /// Those of the jobs that are not known here to have been accepted.
-    pub(super) fn on_find_unknown_jobs(&mut self, jobs: Vec<JobId>, reply: ReplyId) {
-        let accepted = |id: &JobId| {
-            self.dependencies.blocked.contains_key(id)
-                || self.upstream_state(id) != UpstreamState::Unknown
-        };
-        let unknown = jobs.into_iter().filter(|id| !accepted(id)).collect();
-        self.reply(reply, Reply::UnknownJobs(unknown));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/engine/dependencies/tests.rs
@@ -0,0 +1,95 @@
+use super::*;
+use crate::engine::test_support::{context_at, dependent};
+use crate::wire::store::Mutation;
+
+const NOW: UnixTime = UnixTime::from_millis(5_000);
+
+/// Of two jobs the second depends on the first, and the first on `run-0`.
+fn chain() -> Dependencies {
+    let mut dependencies = Dependencies::default();
+    for (id, depends_on) in [("run-1", "run-0"), ("run-2", "run-1")] {
+        let record = JobRecord::new(dependent(id, &[depends_on]), NOW);
+        dependencies.insert(id.into(), record, 3);
+    }
+    dependencies
+}
+
+fn nothing_known(_: &JobId) -> UpstreamState {
+    UpstreamState::Unknown
+}
+
+#[test]
+fn jobs_are_evaluated_when_something_has_changed() {
+    let mut dependencies = chain();
+    let evaluation = dependencies.evaluate(|_| UpstreamState::Open).unwrap();
+    assert!(evaluation.unblocked.is_empty());
+    let urgency = evaluation.inherited.keys().map(|id| &*id.0);
+    assert_eq!(urgency.collect::<Vec<_>>(), ["run-0", "run-1"]);
+    assert!(dependencies.evaluate(|_| UpstreamState::Open).is_none());
+    dependencies.request_evaluation();
+    let evaluation = dependencies.evaluate(|_| UpstreamState::Done).unwrap();
+    assert_eq!(evaluation.unblocked, [JobId::from("run-1")]);
+}
+
+#[test]
+fn final_states_that_are_not_known_are_read() {
+    let mut dependencies = chain();
+    let mut context = context_at(0);
+    dependencies.evaluate(nothing_known).unwrap();
+    let reads = dependencies.begin_final_record_reads(context.now());
+    assert_eq!(reads, [JobId::from("run-0")]);
+    assert!(
+        dependencies
+            .begin_final_record_reads(context.now())
+            .is_empty()
+    );
+    let done = Some(JobState::Done);
+    dependencies.on_final_record_read(&reads[0], done, &mut context);
+    let evaluation = dependencies.evaluate(nothing_known).unwrap();
+    assert_eq!(evaluation.unblocked, [JobId::from("run-1")]);
+}
+
+#[test]
+fn a_cancelled_dependency_cancels_all_that_depend_on_it() {
+    let mut dependencies = chain();
+    dependencies.record_final_state(&"run-0".into(), JobState::Cancelled);
+    let evaluation = dependencies.evaluate(nothing_known).unwrap();
+    assert_eq!(evaluation.unblocked.len(), 2);
+    let id = JobId::from("run-2");
+    assert_eq!(dependencies.state(&id), Some(DependencyState::Cancelled));
+    let transaction = dependencies.add_unblocked_job(&id, NOW, Transaction::default());
+    assert_eq!(
+        transaction.mutations.len(),
+        2,
+        "a final record for a live one"
+    );
+    let written = dependencies.on_unblocked_job_written(&id, NOW);
+    assert!(matches!(written, Some(UnblockedJob::Cancelled)));
+    assert_eq!(dependencies.state(&id), None);
+}
+
+#[test]
+fn a_job_whose_dependencies_are_done_gets_a_record_without_them() {
+    let mut dependencies = chain();
+    dependencies.evaluate(|_| UpstreamState::Done).unwrap();
+    let id = JobId::from("run-1");
+    let transaction = dependencies.add_unblocked_job(&id, NOW, Transaction::default());
+    assert_eq!(transaction.comparisons[0].version, 3);
+    let Mutation::Put { value, .. } = &transaction.mutations[0] else {
+        panic!("{transaction:?}");
+    };
+    let record = records::read_job(value.clone()).unwrap();
+    assert!(!record.waits());
+    assert_eq!(record.ready_at, Some(NOW));
+    let written = dependencies.on_unblocked_job_written(&id, NOW);
+    assert!(matches!(written, Some(UnblockedJob::Ready(ready)) if *ready == record));
+}
+
+#[test]
+fn a_job_that_waits_is_not_written() {
+    let mut dependencies = chain();
+    dependencies.evaluate(|_| UpstreamState::Open).unwrap();
+    let id = JobId::from("run-1");
+    let transaction = dependencies.add_unblocked_job(&id, NOW, Transaction::default());
+    assert_eq!(transaction, Transaction::default());
+}
--- /dev/null
+++ b/src/engine/heartbeats/exits.rs
@@ -0,0 +1,96 @@
+//! Handles tasks that have exited: completions, failures, and refused starts.
+
+use crate::engine::Engine;
+use crate::model::{JobPhase, MachineId, TaskId};
+use crate::wire::user::JobKind;
+use crate::wire::worker::{ExitReason, Task};
+
+impl Engine {
+    /// A task has left its machine and says why.
+    pub(super) fn on_task_exited(&mut self, machine: &MachineId, id: &TaskId, task: &Task) {
+        let Some(job) = self.jobs.get(&id.job) else {
+            return;
+        };
+        let placed_here = job.placements.get(&id.index).is_some_and(|placement| {
+            placement.machine == *machine && placement.attempt == task.attempt
+        });
+        let completed = task.exit_reason == Some(ExitReason::Completed);
+        if placed_here {
+            self.remove_placement(id);
+        } else if !completed || job.spec.kind != JobKind::Array {
+            return;
+        }
+        match task.exit_reason {
+            Some(ExitReason::Completed) => self.on_task_completed(machine, id),
+            Some(reason) if placed_here => self.on_task_ended(machine, id, reason),
+            _ => {}
+        }
+        self.stop_rest_of_gang(&id.job);
+        self.finish_job_if_over(&id.job);
+    }
+
+    /// A task that was placed on the machine has ended there without completing.
+    fn on_task_ended(&mut self, machine: &MachineId, id: &TaskId, reason: ExitReason) {
+        match reason {
+            ExitReason::Failed => self.on_task_failed(machine, &id.job),
+            ExitReason::UnknownTask => {
+                self.delay_restart(&id.job);
+                tracing::info!(task = %id, %machine, "worker does not know the job");
+            }
+            ExitReason::InsufficientResources | ExitReason::AttemptConflict => {
+                tracing::info!(task = %id, %machine, ?reason, "start refused");
+            }
+            ExitReason::Completed
+            | ExitReason::Stopped
+            | ExitReason::GangPeerLost
+            | ExitReason::GangIncomplete => {}
+        }
+    }
+
+    fn on_task_completed(&mut self, machine: &MachineId, id: &TaskId) {
+        let now = self.context.now();
+        let Some(job) = self.jobs.get_mut(&id.job) else {
+            return;
+        };
+        job.consecutive_failures = 0;
+        // A second attempt of a task that has completed has nothing left to do.
+        if let Some(other) = job.placements.get_mut(&id.index) {
+            other.request_stop(0, now);
+        }
+        let all_completed = job.complete(id.index);
+        let failed_on = std::mem::take(&mut job.failed_on);
+        if job.is_gang() && !job.placements.is_empty() {
+            // They complete together; what does not is stopped.
+            job.stop_all_tasks(0, now);
+        }
+        self.attribute_failures(machine, &failed_on);
+        if all_completed {
+            tracing::debug!(job = %id.job, "all tasks completed");
+        }
+        if let Some(leader) = self.leadership.leader_mut() {
+            match all_completed {
+                true => leader.completions.add_finished(&id.job),
+                false => leader.completions.add_progress(&id.job),
+            }
+        }
+    }
+
+    /// Whether the worker may forget a task that has exited. Only a completion has to be durable
+    /// first: any other end just makes the task wait again, which is also what a new leader
+    /// concludes when the machine no longer names it.
+    pub(super) fn may_forget(&self, id: &TaskId, task: &Task) -> bool {
+        let Some(job) = self.jobs.get(&id.job) else {
+            return true;
+        };
+        if task.exit_reason != Some(ExitReason::Completed) {
+            return true;
+        }
+        match job.phase {
+            JobPhase::Open => {
+                !job.completed.contains(id.index) || job.durable_completions.contains(id.index)
+            }
+            JobPhase::Done { recorded } => recorded,
+            JobPhase::Cancelled => true,
+        }
+    }
+}
--- a/src/engine/leadership.rs
+++ b/src/engine/leadership.rs
@@ -1,316 +1,251 @@
-//! Leadership: election, renewal of the lease, and stepping down.
+//! This node's role, and what it knows of the leader.
 //!
-//! The leader is whose name stands under a key that is bound to a lease of the state service. The
-//! commit that writes the key also raises the durable term, and succeeds only if key and term are
-//! as read before; so terms are never used twice, and at most one leader's commits succeed.
+//! The leader is the node whose name stands under a key that is attached to a lease of the state
+//! service. The commit that writes the key also raises the durable term, and succeeds only if key
+//! and term are as read before; so terms are never used twice, and at most one leader's commits
+//! succeed. `election.rs` takes the steps of a campaign, `authority.rs` says what a node may do.
+
+use super::context::Context;
+use super::leader::Leader;
+use super::retry::Retry;
+use crate::model::Timestamp;
+
+/// The leader that the state service names.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(super) struct ObservedLeader {
+    /// Name of its node.
+    pub(super) node: String,
+    /// Its term.
+    pub(super) term: u64,
+    /// Version of the leader's key.
+    pub(super) version: u64,
+}
 
-use super::records::{self, LEAD, LeadRecord, TERM, TermRecord};
-use super::{
-    Engine, Leader, ObservedLeader, PendingCall, Role, autoscaling, completions, recovery, rounds,
-};
-use crate::bounded_map::BoundedMap;
-use crate::constants;
-use crate::model::Ms;
-use crate::peer::Announcement;
-use crate::store::{StoreCall, StoreError, StoreReply};
-use crate::wire::store::Transaction;
+/// The lease that a candidate has been granted.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct CampaignLease {
+    /// Id of the lease.
+    pub(super) id: u64,
+    /// When it was asked for.
+    pub(super) sent_at: Timestamp,
+}
 
-/// Less what the steady clock may have lost.
-fn less_drift(ms: u64) -> u64 {
-    ms - ms * constants::DRIFT_PPM / 1_000_000
+/// How far a campaign has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum CampaignPhase {
+    /// The lease has been asked for.
+    RequestingLease,
+    /// The lease is granted; the term is read, then written with the leader's key.
+    Electing(CampaignLease),
 }
 
-impl Engine {
-    /// The state service names the leader.
-    pub(super) fn on_leader_seen(&mut self, seen: ObservedLeader) {
-        if self
-            .observed_leader
-            .as_ref()
-            .is_some_and(|h| h.version >= seen.version)
-        {
-            return;
-        }
-        self.term_heard = self.term_heard.max(seen.term);
-        tracing::info!(leader = seen.node, term = seen.term, "leader seen");
-        if self.leader().is_some_and(|l| l.version < seen.version) {
-            self.step_down("another node has become leader");
-        }
-        // Its own key from before a restart: that process is gone, so there is nobody to wait
-        // for.
-        self.observed_leader = Some(seen);
-    }
+/// The role of this node.
+#[derive(Debug, Default)]
+enum Role {
+    #[default]
+    Follower,
+    Candidate(CampaignPhase),
+    Leader(Box<Leader>),
+}
 
-    /// The leader's key was deleted, up to that version.
-    pub(super) fn on_leader_gone(&mut self, version: u64) {
-        if self
-            .observed_leader
-            .as_ref()
-            .is_some_and(|h| h.version > version)
-        {
-            return;
-        }
-        self.observed_leader = None;
-        if self.leader().is_some_and(|l| l.version <= version) {
-            self.step_down("the lease has ended");
+/// Why a leader steps down.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub(super) enum StepDownReason {
+    /// The state service names another leader.
+    #[error("another node has become leader")]
+    Superseded,
+    /// The leader's lease has expired.
+    #[error("the lease has expired")]
+    LeaseExpired,
+    /// A peer announces a higher term.
+    #[error("a peer leads with a higher term")]
+    PeerHasHigherTerm,
+    /// A worker has seen a higher term.
+    #[error("a worker has seen a higher term")]
+    WorkerHasHigherTerm,
+    /// Neither renewals nor watches are answered.
+    #[error("no contact with the state service")]
+    StoreUnreachable,
+    /// A commit failed on the leader's key.
+    #[error("a commit found another leader")]
+    CommitConflict,
+    /// The term has no further round numbers.
+    #[error("a new term is needed for more rounds")]
+    RoundNumbersExhausted,
+    /// Most workers have fallen silent at once.
+    #[error("most workers can't be heard")]
+    WorkersUnreachable,
+}
+
+/// What an observation of the leader's key means to this node.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum LeaderObservation {
+    /// A newer one was observed before.
+    Outdated,
+    /// It is the newest, and this node does not lead or leads by this very key.
+    Current,
+    /// It is the newest, and this node has led until now.
+    Superseded,
+}
+
+/// The role of this node and the leader that it knows of.
+#[derive(Debug, Default)]
+pub(super) struct Leadership {
+    role: Role,
+    campaign: Retry,
+    observed_leader: Option<ObservedLeader>,
+    /// Highest term heard of, from any source.
+    highest_term: u64,
+}
+
+impl Leadership {
+    /// The leader's state, if this node leads.
+    pub(super) fn leader(&self) -> Option<&Leader> {
+        match &self.role {
+            Role::Leader(leader) => Some(leader),
+            _ => None,
         }
     }
 
-    /// A peer's announcement came in.
-    pub(super) fn on_announced(&mut self, said: Announcement) {
-        if self.settings.peers.iter().any(|p| p.node == said.node) {
-            self.peers
-                .insert(said.node, (self.now, said.store_reachable));
-        }
-        self.term_heard = self.term_heard.max(said.term);
-        // A leader that the state service refuses hears of its successor this way.
-        if self.leader().is_some_and(|l| l.term < said.term) {
-            self.step_down("a peer leads with a higher term");
+    /// The leader's state, if this node leads.
+    pub(super) fn leader_mut(&mut self) -> Option<&mut Leader> {
+        match &mut self.role {
+            Role::Leader(leader) => Some(leader),
+            _ => None,
         }
     }
 
-    /// Whether this node may start things: it leads, its lease is surely valid, and it has heard of
-    /// all changes within the lease's time.
-    pub(super) fn holds_valid_lease(&self) -> bool {
-        let ttl = less_drift(constants::LEASE_TTL_MS);
-        self.leader()
-            .is_some_and(|l| self.now < l.lease_renewed_at + ttl)
-            && self.fresh_at.is_some_and(|at| self.now < at + ttl)
+    /// The leader's state, if this node leads and has read the records of earlier leaders.
+    pub(super) fn recovered_leader_mut(&mut self) -> Option<&mut Leader> {
+        self.leader_mut().filter(|leader| leader.has_recovered())
     }
 
-    /// Whether this node may still answer reports, which renews workers' leases. Bounded, so
-    /// that a cancellation it has not heard of still ends in time: see the timing's grace.
-    pub(super) fn may_respond(&self) -> bool {
-        let grace = self.leader_grace();
-        self.leader()
-            .is_some_and(|l| self.now < l.lease_renewed_at + grace)
-            && self.knows_cancellations(grace)
+    /// Whether this node leads.
+    pub(super) fn is_leading(&self) -> bool {
+        self.leader().is_some()
     }
 
-    /// Whether it has heard of all cancellations within the grace.
-    fn knows_cancellations(&self, grace: Ms) -> bool {
-        self.fresh_at.is_some_and(|at| self.now < at + grace)
+    /// The leader that the state service names.
+    pub(super) fn observed_leader(&self) -> Option<&ObservedLeader> {
+        self.observed_leader.as_ref()
     }
 
-    /// For how long after its last news a leader still answers reports. One that hears no peer
-    /// either has more likely lost its own connections than lived through an outage: its
-    /// successor is at work by then and waits for the workers, so it lets them go sooner. (A
-    /// follower that serves workers for the leader redirects them now and then and need not: in a
-    /// zone that is cut off, what they run would end for nothing.)
-    fn leader_grace(&self) -> Ms {
-        match self.is_alone() {
-            true => self.timing.leader_grace / 2,
-            false => self.timing.leader_grace,
-        }
+    /// The leader that the state service names, if it is not this node. (This node's own key from
+    /// before a restart counts for nothing: that process is gone.)
+    pub(super) fn other_leader(&self, own_node: &str) -> Option<&ObservedLeader> {
+        self.observed_leader
+            .as_ref()
+            .filter(|leader| leader.node != own_node)
     }
 
-    /// The leader for which this node may answer reports in its absence: the state service says
-    /// that it leads, and it can't be heard. Whoever can't reach it from here is answered only
-    /// to keep its lease and to be told of cancellations; the right completions, as the leader's own
-    /// does, with the grace after the last proof of knowing all cancellations.
-    pub(super) fn unreachable_leader(&self) -> Option<&ObservedLeader> {
-        let observed_leader = self
-            .observed_leader
-            .as_ref()
-            .filter(|h| h.node != self.settings.node)?;
-        let knows = self.knows_cancellations(self.timing.leader_grace);
-        (knows && !self.hears(&observed_leader.node)).then_some(observed_leader)
+    /// Highest term heard of.
+    pub(super) fn highest_term(&self) -> u64 {
+        self.highest_term
     }
 
-    /// Renews the lease, steps down or stands for election, as is due.
-    pub(super) fn maintain_leadership(&mut self) {
-        match &self.role {
-            Role::Leader(_) => self.renew_or_step_down(),
-            Role::Follower => self.campaign_when_due(),
-            Role::Campaign { .. } => {}
-        }
+    /// A term was heard of.
+    pub(super) fn observe_term(&mut self, term: u64) {
+        self.highest_term = self.highest_term.max(term);
     }
 
-    fn renew_or_step_down(&mut self) {
-        let now = self.now;
-        let Some(leader) = self.leader_mut() else {
-            return;
-        };
-        if !leader.renewal_in_flight && now >= leader.next_renewal_at {
-            leader.renewal_in_flight = true;
-            let lease = leader.lease;
-            self.call_store(
-                PendingCall::RenewLease { sent_at: now },
-                StoreCall::KeepAlive { lease },
-            );
-        } else if !self.may_respond() {
-            self.step_down("no contact with the state service");
+    /// The state service names a leader.
+    pub(super) fn observe_leader(&mut self, observed: ObservedLeader) -> LeaderObservation {
+        let known = self.observed_leader.as_ref();
+        if known.is_some_and(|known| known.version >= observed.version) {
+            return LeaderObservation::Outdated;
+        }
+        self.observe_term(observed.term);
+        let leader = self.leader();
+        let superseded = leader.is_some_and(|leader| leader.version() < observed.version);
+        self.observed_leader = Some(observed);
+        match superseded {
+            true => LeaderObservation::Superseded,
+            false => LeaderObservation::Current,
         }
     }
 
-    /// Begins a campaign with a lease of its own, if nobody leads and this node is up to date.
-    fn campaign_when_due(&mut self) {
-        let now = self.now;
-        let vacant = self
-            .observed_leader
-            .as_ref()
-            .is_none_or(|h| h.node == self.settings.node);
-        let current = self.revision.is_some() && self.store_reachable();
-        if vacant && current && self.machine_types.is_some() && self.campaign.due(now) {
-            self.campaign.busy = true;
-            self.role = Role::Campaign { lease: None };
-            let call = StoreCall::GrantLease {
-                ttl_ms: constants::LEASE_TTL_MS,
-            };
-            self.call_store(PendingCall::GrantCampaignLease { sent_at: now }, call);
+    /// The leader's key was deleted, up to that version. Whether that ends this node's own
+    /// leadership.
+    pub(super) fn observe_key_deleted(&mut self, version: u64) -> bool {
+        let known = self.observed_leader.as_ref();
+        if known.is_some_and(|known| known.version > version) {
+            return false;
         }
+        self.observed_leader = None;
+        self.leader()
+            .is_some_and(|leader| leader.version() <= version)
     }
 
-    /// The campaign's lease was granted: the durable term is read next.
-    pub(super) fn on_campaign_lease(
-        &mut self,
-        sent_at: Ms,
-        result: Result<StoreReply, StoreError>,
-    ) {
-        match (&mut self.role, result) {
-            (Role::Campaign { lease }, Ok(StoreReply::LeaseGranted { lease: held })) => {
-                *lease = Some((held, sent_at));
-                self.call_store(PendingCall::ReadTerm, StoreCall::Get { key: TERM.into() });
-            }
-            _ => self.end_campaign(),
-        }
+    /// Whether this node is a follower and its next campaign is due.
+    pub(super) fn is_campaign_due(&self, now: Timestamp) -> bool {
+        matches!(self.role, Role::Follower) && self.campaign.is_due(now)
     }
 
-    /// The durable term was read: this node's name and a higher term are written.
-    pub(super) fn on_term_read(&mut self, result: Result<StoreReply, StoreError>) {
-        let Role::Campaign {
-            lease: Some((lease, _)),
-        } = self.role
-        else {
-            return self.end_campaign();
-        };
-        let (last, version) = match result {
-            Ok(StoreReply::Item(None)) => (0, 0),
-            Ok(StoreReply::Item(Some(item))) => match records::read::<TermRecord>(item.value) {
-                Some(record) => (record.term, item.version),
-                None => {
-                    tracing::error!(key = TERM, "record can't be read, nobody can lead");
-                    return self.end_campaign();
-                }
-            },
-            _ => return self.end_campaign(),
-        };
-        // Another node may have become leader since the campaign began.
-        let held_by = self.observed_leader.as_ref();
-        if held_by.is_some_and(|h| h.node != self.settings.node) {
-            return self.end_campaign();
-        }
-        let lead_version = held_by.map_or(0, |h| h.version);
-        let term = last.max(self.term_heard) + 1;
-        let lead = LeadRecord {
-            node: self.settings.node.clone(),
-            term,
-        };
-        let txn = Transaction::default()
-            .compare(LEAD, lead_version)
-            .compare(TERM, version)
-            .put_with_lease(LEAD, records::value(&lead), lease)
-            .put(TERM, records::value(&TermRecord { term }));
-        self.call_store(PendingCall::CommitElection { term }, StoreCall::Commit(txn));
+    /// Becomes a candidate that asks for a lease.
+    pub(super) fn begin_campaign(&mut self) {
+        self.campaign.begin();
+        self.role = Role::Candidate(CampaignPhase::RequestingLease);
     }
 
-    /// The outcome of the commit that makes this node the leader.
-    pub(super) fn on_elected(&mut self, term: u64, result: Result<StoreReply, StoreError>) {
-        let Role::Campaign {
-            lease: Some((lease, sent_at)),
-        } = self.role
-        else {
-            return self.end_campaign();
+    /// The campaign's lease was granted; false if there is no campaign.
+    pub(super) fn begin_election(&mut self, lease: CampaignLease) -> bool {
+        let Role::Candidate(phase) = &mut self.role else {
+            return false;
         };
-        let Ok(StoreReply::Committed { revision }) = result else {
-            return self.end_campaign();
-        };
-        self.campaign.worked(self.now);
-        tracing::info!(term, "became leader");
-        self.observed_leader = Some(ObservedLeader {
-            node: self.settings.node.clone(),
-            term,
-            version: revision,
-        });
-        self.term_heard = self.term_heard.max(term);
-        self.forget_placements();
-        // Outcomes of calls from an earlier term mean nothing in this one.
-        self.ops.retain(|_, call_id| !call_id.is_leaders());
-        self.role = Role::Leader(Box::new(Leader {
-            term,
-            version: revision,
-            lease,
-            lease_renewed_at: sent_at,
-            next_renewal_at: sent_at + constants::LEASE_RENEWAL_INTERVAL_MS,
-            renewal_in_flight: false,
-            recovery: Some(recovery::Recovery::default()),
-            elected_at: self.now,
-            machines: Default::default(),
-            returned_machines: BoundedMap::new(constants::MAX_RETURNED_MACHINES_REMEMBERED),
-            rounds: rounds::Rounds::default(),
-            completions: completions::Completions::default(),
-            autoscaling: autoscaling::Autoscaling::new(self.now),
-            needs_scheduling: true,
-            next_scheduling_at: self.now,
-        }));
+        *phase = CampaignPhase::Electing(lease);
+        true
     }
 
-    /// The campaign failed, or its outcome is unknown: its lease must not linger with the key.
-    fn end_campaign(&mut self) {
-        if let Role::Campaign { lease } = &self.role {
-            if let Some((lease, _)) = *lease {
-                self.call_store(PendingCall::Untracked, StoreCall::RevokeLease { lease });
-            }
-            self.role = Role::Follower;
+    /// The lease of the campaign, if it has one.
+    pub(super) fn campaign_lease(&self) -> Option<CampaignLease> {
+        match self.role {
+            Role::Candidate(CampaignPhase::Electing(lease)) => Some(lease),
+            _ => None,
         }
-        self.campaign.failed(self.now, &mut self.rng);
     }
 
-    /// The outcome of a renewal.
-    pub(super) fn on_lease_renewed(&mut self, sent_at: Ms, result: Result<StoreReply, StoreError>) {
-        let now = self.now;
-        let Some(leader) = self.leader_mut() else {
-            return;
-        };
-        leader.renewal_in_flight = false;
-        match result {
-            Ok(_) => {
-                leader.lease_renewed_at = leader.lease_renewed_at.max(sent_at);
-                leader.next_renewal_at = sent_at + constants::LEASE_RENEWAL_INTERVAL_MS;
-            }
-            Err(StoreError::NoLease) => self.step_down("the lease has ended"),
-            Err(e) => {
-                tracing::debug!("renewal: {e}");
-                leader.next_renewal_at = now + constants::LEASE_RENEWAL_INTERVAL_MS / 4;
-            }
+    /// The campaign failed, or its outcome is unknown. Returns its lease, which must not linger
+    /// with the leader's key.
+    pub(super) fn abandon_campaign(&mut self, context: &mut Context) -> Option<CampaignLease> {
+        let lease = self.campaign_lease();
+        if matches!(self.role, Role::Candidate(_)) {
+            self.role = Role::Follower;
         }
+        self.campaign.failed(context);
+        lease
     }
 
-    /// Gives up leadership, if this node leads, and everything that only a leader knows.
-    pub(super) fn step_down(&mut self, reason: &str) {
-        if let Role::Leader(leader) = &self.role {
-            tracing::info!(term = leader.term, "gave up leadership: {reason}");
-            let lease = leader.lease;
-            // Outcomes that come in later would meet jobs of which no placement and no end is known
-            // any more: the end of one that is done once counted as its cancellation.
-            self.ops.retain(|_, call_id| !call_id.is_leaders());
-            self.call_store(PendingCall::Untracked, StoreCall::RevokeLease { lease });
-            self.role = Role::Follower;
-            self.forget_placements();
-            self.campaign.failed(self.now, &mut self.rng);
-        }
+    /// This node has been elected.
+    pub(super) fn become_leader(&mut self, node: String, leader: Leader, now: Timestamp) {
+        self.campaign.succeeded(now);
+        self.observed_leader = Some(ObservedLeader {
+            node,
+            term: leader.term(),
+            version: leader.version(),
+        });
+        self.observe_term(leader.term());
+        self.role = Role::Leader(Box::new(leader));
     }
 
-    /// What only a leader knows of jobs is not carried from one term to the next.
-    fn forget_placements(&mut self) {
-        for job in self.jobs.values_mut() {
-            job.forget_leader_state();
-        }
-        self.jobs
-            .retain(|_, job| !matches!(job.phase, crate::model::JobPhase::Done { recorded: true }));
-        for job in self.jobs.values_mut() {
-            if matches!(job.phase, crate::model::JobPhase::Done { .. }) {
-                job.phase = crate::model::JobPhase::Open;
+    /// Becomes a follower. Returns the state of the term that has ended, if this node led.
+    pub(super) fn resign(&mut self, context: &mut Context) -> Option<Box<Leader>> {
+        match std::mem::take(&mut self.role) {
+            Role::Leader(leader) => {
+                self.campaign.failed(context);
+                Some(leader)
+            }
+            other => {
+                self.role = other;
+                None
             }
         }
     }
+
+    /// No campaign begins before that.
+    pub(super) fn postpone_campaign(&mut self, until: Timestamp) {
+        self.campaign.postpone(until);
+    }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/engine/live_records.rs
@@ -0,0 +1,228 @@
+//! Applies the records under `live/`, as they are listed and watched, to the engine's parts.
+
+use super::Engine;
+use super::leadership::ObservedLeader;
+use super::live_view::page_call;
+use super::records::{self, JOB_PREFIX, JobRecord, LEADER_KEY, LeaderRecord};
+use crate::model::{Job, JobId, JobPhase, JobSpec, Timestamp};
+use crate::store::{StoreError, StoreReply};
+use crate::wire::store::{Changes, WatchEvent};
+use crate::wire::user::JobState;
+use rmpv::Value;
+
+impl Engine {
+    /// Lists or watches the records, if that is due.
+    pub(super) fn follow_live_records(&mut self) {
+        if let Some((pending, call)) = self.live.next_call(self.context.now()) {
+            self.outbox.call_store(pending, call);
+        }
+    }
+
+    /// A page of the records was listed.
+    pub(super) fn on_live_records_listed(
+        &mut self,
+        first_revision: Option<u64>,
+        result: Result<StoreReply, StoreError>,
+    ) {
+        let Ok(StoreReply::Listing(page)) = result else {
+            return self.live.on_call_failed(&mut self.context);
+        };
+        let first_revision = first_revision.unwrap_or(page.revision);
+        let last_key = page.items.last().map(|item| item.key.clone());
+        let mut names_leader = false;
+        for item in page.items {
+            names_leader |= item.key == LEADER_KEY;
+            self.live.note_listed(&item.key);
+            self.on_live_record_put(&item.key, item.value, item.version);
+        }
+        // Jobs' keys sort before the leader's, which therefore is on the last page.
+        if page.has_more && last_key.is_some() {
+            let (pending, call) = page_call(Some(first_revision), last_key);
+            return self.outbox.call_store(pending, call);
+        }
+        if !names_leader {
+            self.on_leader_key_deleted(first_revision);
+        }
+        self.remove_unlisted_jobs(first_revision);
+        self.live.finish_listing(first_revision, self.context.now());
+    }
+
+    fn remove_unlisted_jobs(&mut self, revision: u64) {
+        let known = self.jobs.keys().chain(self.dependencies.blocked_ids());
+        let unlisted: Vec<JobId> = known
+            .filter(|id| !self.live.has_listed(id))
+            .cloned()
+            .collect();
+        for id in unlisted {
+            self.on_job_record_removed(&id, revision);
+        }
+    }
+
+    /// A watch was answered.
+    pub(super) fn on_live_records_watched(
+        &mut self,
+        sent_at: Timestamp,
+        result: Result<StoreReply, StoreError>,
+    ) {
+        match result {
+            Ok(StoreReply::Changes(changes)) => {
+                self.apply_changes(sent_at, changes);
+                self.live.on_watch_answered(self.context.now());
+            }
+            Err(StoreError::Compacted) => {
+                tracing::info!("watch missed changes, listing all records");
+                self.live.restart_listing(self.context.now());
+            }
+            other => {
+                if let Err(error) = other {
+                    tracing::debug!(%error, "watch failed");
+                }
+                self.live.on_call_failed(&mut self.context);
+            }
+        }
+    }
+
+    /// Applies all changes up to a revision. A response that another one has overtaken tells
+    /// nothing new, and what it tells may be out of date.
+    pub(super) fn apply_changes(&mut self, sent_at: Timestamp, changes: Changes) {
+        self.live.note_contact(sent_at);
+        if self.live.knows_revision(changes.revision) {
+            return;
+        }
+        for event in changes.events {
+            match event {
+                WatchEvent::Put {
+                    key,
+                    value,
+                    version,
+                } => self.on_live_record_put(&key, value, version),
+                WatchEvent::Delete { key, version } => self.on_live_record_deleted(&key, version),
+            }
+        }
+        self.live.advance_to(changes.revision);
+    }
+
+    fn on_live_record_put(&mut self, key: &str, value: Value, version: u64) {
+        if key == LEADER_KEY {
+            self.on_leader_record(value, version);
+        } else if let Some(id) = key.strip_prefix(JOB_PREFIX) {
+            self.on_job_record(key, &JobId::from(id), value, version);
+        }
+    }
+
+    fn on_live_record_deleted(&mut self, key: &str, version: u64) {
+        if key == LEADER_KEY {
+            self.on_leader_key_deleted(version);
+        } else if let Some(id) = key.strip_prefix(JOB_PREFIX) {
+            self.live.clear_unreadable(key);
+            self.on_job_record_removed(&id.into(), version);
+        }
+    }
+
+    fn on_leader_record(&mut self, value: Value, version: u64) {
+        match records::from_value::<LeaderRecord>(value) {
+            Some(record) => self.on_leader_observed(ObservedLeader {
+                node: record.node,
+                term: record.term,
+                version,
+            }),
+            None => tracing::error!(
+                key = LEADER_KEY,
+                consequence = "the leader is unknown",
+                "unreadable record"
+            ),
+        }
+    }
+
+    fn on_job_record(&mut self, key: &str, id: &JobId, value: Value, version: u64) {
+        let known = self.jobs.get(id).map(|job| job.version);
+        let known = known.max(self.dependencies.version(id));
+        if known.is_some_and(|known| known >= version) {
+            return;
+        }
+        let Some(record) = records::read_job(value) else {
+            if self.live.mark_unreadable(key) {
+                let consequence = "the job is left alone";
+                tracing::error!(key, consequence, "unreadable record");
+            }
+            return;
+        };
+        self.live.clear_unreadable(key);
+        if record.waits() {
+            return self.dependencies.insert(id.clone(), record, version);
+        }
+        self.dependencies.remove(id);
+        match self.jobs.get_mut(id) {
+            Some(job) => job.version = version,
+            None => self.admit(id, &record, version),
+        }
+        if record.cancelled {
+            self.on_job_cancelled(id);
+        }
+        if let Some(leader) = self.leadership.leader_mut() {
+            leader.scheduling.request();
+        }
+    }
+
+    /// A job that may run, seen for the first time.
+    pub(super) fn admit(&mut self, id: &JobId, record: &JobRecord, version: u64) {
+        let spec = JobSpec::from(&record.job);
+        tracing::debug!(job = %id, class = %spec.class, tasks = spec.tasks, "job admitted");
+        let ready_at = record.ready_at.unwrap_or(record.submitted_at);
+        self.arrival_history.note(ready_at, id, &spec);
+        let now = self.context.now();
+        let mut job = Job::new(spec, version, record.submitted_at, JobPhase::Open, now);
+        job.ready_at = ready_at;
+        self.jobs.insert(id.clone(), job);
+        self.dependencies.request_evaluation();
+    }
+
+    /// A cancellation is durable: nothing of the job may start, and what runs is stopped now.
+    pub(super) fn on_job_cancelled(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if matches!(
+            job.phase,
+            JobPhase::Cancelled | JobPhase::Done { recorded: true }
+        ) {
+            return;
+        }
+        job.phase = JobPhase::Cancelled;
+        job.stop_all_tasks(0, self.context.now());
+        self.dependencies.request_evaluation();
+        self.send_stops(id);
+        self.finish_job_if_over(id);
+    }
+
+    /// A job's record is gone: a leader has recorded its end.
+    fn on_job_record_removed(&mut self, id: &JobId, version: u64) {
+        let blocked = self.dependencies.version(id);
+        if blocked.is_some_and(|known| known <= version) {
+            self.dependencies.remove(id);
+        }
+        self.dependencies.request_evaluation();
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if job.version > version {
+            return;
+        }
+        if job.is_open() {
+            // Only a leader removes a record, and this one believes the job open: a successor
+            // has ended it. What is still placed is stopped rather than lost track of.
+            job.phase = JobPhase::Done { recorded: true };
+            job.stop_all_tasks(0, self.context.now());
+        } else if matches!(job.phase, JobPhase::Done { .. }) {
+            job.phase = JobPhase::Done { recorded: true };
+        }
+        let cancelled = job.phase == JobPhase::Cancelled;
+        if job.placements.is_empty() {
+            self.jobs.remove(id);
+        }
+        if cancelled {
+            self.dependencies
+                .record_final_state(id, JobState::Cancelled);
+        }
+    }
+}
--- a/src/engine/messages.rs
+++ b/src/engine/messages.rs
@@ -1,9 +1,10 @@
 //! What passes between the engine and its runtime: commands in, effects and replies out; and what
 //! the engine remembers of each call in flight.
 
-use super::{autoscaling, completions};
+use super::autoscaling::MachineOffer;
+use super::completions::CompletionBatch;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
-use crate::model::{JobId, MachineId, MachineTypes, Ms};
+use crate::model::{JobId, MachineId, MachineTypes, Timestamp};
 use crate::peer::Announcement;
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::user::JobState;
@@ -153,15 +154,15 @@
         first_revision: Option<u64>,
     },
     /// Waits for changes of the records under `live/`.
-    WatchLiveRecords { sent_at: Ms },
+    WatchLiveRecords { sent_at: Timestamp },
     /// Asks for the lease of a campaign.
-    GrantCampaignLease { sent_at: Ms },
+    GrantCampaignLease { sent_at: Timestamp },
     /// Reads the durable term.
     ReadTerm,
     /// Writes this node's name and a higher term.
     CommitElection { term: u64 },
     /// Renews the leader's lease.
-    RenewLease { sent_at: Ms },
+    RenewLease { sent_at: Timestamp },
     /// Nobody waits for the outcome.
     Untracked,
     /// Reads a page of the records that a new leader recovers.
@@ -171,17 +172,17 @@
     /// Lists records of rounds to find orphaned ones.
     ListOrphanedRounds,
     /// Writes completions.
-    WriteCompletions(completions::CompletionBatch),
+    WriteCompletions(CompletionBatch),
     /// Reads a progress record whose version is not known any more.
     ReadProgressRecord { key: String },
     /// Reads how a job ended that others depend on.
     ReadFinalRecord { job: JobId },
     /// Reads the changes since that revision for users' questions.
-    RefreshLiveRecords { sent_at: Ms, after: u64 },
+    RefreshLiveRecords { sent_at: Timestamp, after: u64 },
     /// Reads a page of the cloud's machine list.
     ListMachines,
     /// Rents machines.
-    RentMachines(autoscaling::MachineOffer),
+    RentMachines(MachineOffer),
     /// Returns machines.
     ReturnMachines(Vec<MachineId>),
 }
--- /dev/null
+++ b/src/engine/peers/tests.rs
@@ -0,0 +1,40 @@
+use super::*;
+use crate::engine::test_support::{context_at, instant};
+
+fn announcement(node: &str, store_reachable: bool) -> Announcement {
+    Announcement {
+        node: node.into(),
+        term: 0,
+        store_reachable,
+    }
+}
+
+#[test]
+fn a_peer_is_heard_until_it_has_been_silent_for_too_long() {
+    let mut peers = PeerHealth::new(context_at(0).settings().peers.clone());
+    let now = instant(60_000);
+    assert!(peers.is_isolated(now) && peers.is_cut_off_from("west", now));
+    peers.record(&announcement("n1", true), now);
+    assert!(peers.hears("n1", now) && peers.any_reaches_store(now));
+    assert!(!peers.is_isolated(now) && !peers.is_cut_off_from("west", now));
+    assert!(!peers.is_cut_off_from("east", now), "no peer is there");
+    let later = now + constants::PEER_SILENCE_TIMEOUT;
+    assert!(!peers.hears("n1", later) && !peers.any_reaches_store(later));
+    assert!(peers.is_isolated(later));
+}
+
+#[test]
+fn announcements_of_others_than_peers_are_ignored() {
+    let mut peers = PeerHealth::new(context_at(0).settings().peers.clone());
+    peers.record(&announcement("n9", true), instant(0));
+    assert!(!peers.hears("n9", instant(0)));
+    assert!(peers.is_isolated(instant(0)));
+}
+
+#[test]
+fn a_peer_without_the_state_service_does_not_reach_it() {
+    let mut peers = PeerHealth::new(context_at(0).settings().peers.clone());
+    peers.record(&announcement("n1", false), instant(0));
+    assert!(peers.hears("n1", instant(0)));
+    assert!(!peers.any_reaches_store(instant(0)));
+}
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -2,16 +2,26 @@
 //!
 //! | key | value | written by |
 //! | --- | --- | --- |
-//! | `live/lead` | holder and term, under the holder's lease | a candidate |
+//! | `live/lead` | the leader's node and term, attached to the leader's lease | a candidate |
 //! | `term` | the highest term ever taken | a candidate |
-//! | `live/job/<id>` | submission, time, cancelled or not, what it awaits | any node; rewritten when it may start, and removed, by the leader |
+//! | `live/job/<id>` | submission, time, cancelled or not, dependencies | any node; rewritten when it may start, and removed, by the leader |
 //! | `final/<id>` | how the job ended | any node (cancelled), the leader (done) |
-//! | `work/<id>/0`, `work/<id>/<part>p` | which tasks of an array are done, in parts if it is large | the leader |
-//! | `work/<id>/<chunk>` | the same, of a large array in the larger chunks of the version before pipelines | read only |
-//! | `rounds/<number>`, `rounds/<number>.<part>` | the starts of a round; its undo is to stop each of them | the leader |
+//! | `work/<id>/0`, `work/<id>/<part>p` | progress: which tasks of an array have completed, in parts if it is large | the leader |
+//! | `work/<id>/<chunk>` | the same, of a large array in the larger parts of the version before dependencies | read only |
+//! | `rounds/<number>`, `rounds/<number>.<part>` | the starts of a round; it is undone by stopping each of them | the leader |
+//!
+//! Keys and field names are durable: other versions read them.
+
+mod json_size;
+mod keys;
 
-use crate::constants::{LEGACY_PROGRESS_RECORD_TASKS, PROGRESS_RECORD_TASKS};
-use crate::model::JobId;
+pub use json_size::json_size;
+pub use keys::{
+    JOB_PREFIX, LEADER_KEY, LIVE_PREFIX, PROGRESS_PREFIX, ROUND_PREFIX, TERM_KEY, final_key,
+    job_key, parse_progress_key, parse_round_key, progress_key, round_key,
+};
+
+use crate::model::UnixTime;
 use crate::wire;
 use crate::wire::store::Transaction;
 use crate::wire::user::{JobState, JobSubmission};
@@ -19,87 +29,92 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-pub const LIVE: &str = "live/";
-pub const LEAD: &str = "live/lead";
-pub const JOBS: &str = "live/job/";
-pub const TERM: &str = "term";
-pub const WORK: &str = "work/";
-pub const ROUNDS: &str = "rounds/";
-const FINAL: &str = "final/";
-
+/// The record of a job that is not over, or is cancelled and may still have tasks on machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "StoredJob", into = "StoredJob")]
 pub struct JobRecord {
-    /// While it names jobs that it awaits, none of its tasks may start: the leader takes the names
-    /// out once all of them are durably done.
+    /// The submission. While it names dependencies, none of the job's tasks may start: the leader
+    /// takes the names out once all of them are durably done.
     pub job: JobSubmission,
-    /// Time of day of the submission, ms.
-    pub at_ms: u64,
+    /// When it was submitted.
+    pub submitted_at: UnixTime,
+    /// Whether it is cancelled.
     pub cancelled: bool,
-    /// Time of day when the last job that it awaited was done, ms.
-    pub ready_ms: Option<u64>,
+    /// When its last dependency was done, if it had any.
+    pub ready_at: Option<UnixTime>,
 }
 
-/// A job's record as it is stored. One that waits for others stands in a field of its own, which
-/// the version before pipelines can't read: it then leaves the job alone, calls it queued and can
-/// cancel it, but never starts it. A cancelled one stands where that version looks.
+/// A job's record as it is stored. The submission of a blocked one stands in a field of its own,
+/// which the version before dependencies can't read: it then leaves the job alone, calls it queued
+/// and can cancel it, but never starts it. A cancelled one stands where that version looks.
 #[derive(Clone, Serialize, Deserialize)]
 struct StoredJob {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     job: Option<JobSubmission>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    step: Option<JobSubmission>,
-    at_ms: u64,
+    #[serde(rename = "step", default, skip_serializing_if = "Option::is_none")]
+    blocked_job: Option<JobSubmission>,
+    #[serde(rename = "at_ms")]
+    submitted_at: UnixTime,
     cancelled: bool,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    ready_ms: Option<u64>,
+    #[serde(rename = "ready_ms", default, skip_serializing_if = "Option::is_none")]
+    ready_at: Option<UnixTime>,
 }
 
+/// A stored job's record has no submission.
+#[derive(Debug, thiserror::Error)]
+#[error("neither job nor step")]
+struct MissingSubmission;
+
 impl From<JobRecord> for StoredJob {
     fn from(record: JobRecord) -> Self {
-        let waits = record.waits();
-        let job = Some(record.job);
-        let (job, step) = if waits { (None, job) } else { (job, None) };
+        let blocked = record.waits();
+        let submission = Some(record.job);
+        let (job, blocked_job) = match blocked {
+            true => (None, submission),
+            false => (submission, None),
+        };
         StoredJob {
             job,
-            step,
-            at_ms: record.at_ms,
+            blocked_job,
+            submitted_at: record.submitted_at,
             cancelled: record.cancelled,
-            ready_ms: record.ready_ms,
+            ready_at: record.ready_at,
         }
     }
 }
 
 impl TryFrom<StoredJob> for JobRecord {
-    type Error = &'static str;
+    type Error = MissingSubmission;
 
     fn try_from(stored: StoredJob) -> Result<Self, Self::Error> {
+        let submission = stored.job.or(stored.blocked_job);
         Ok(JobRecord {
-            job: stored.job.or(stored.step).ok_or("neither job nor step")?,
-            at_ms: stored.at_ms,
+            job: submission.ok_or(MissingSubmission)?,
+            submitted_at: stored.submitted_at,
             cancelled: stored.cancelled,
-            ready_ms: stored.ready_ms,
+            ready_at: stored.ready_at,
         })
     }
 }
 
 impl JobRecord {
-    pub fn new(job: JobSubmission, at_ms: u64) -> Self {
+    /// The record of a job that is submitted now.
+    pub fn new(job: JobSubmission, submitted_at: UnixTime) -> Self {
         JobRecord {
             job,
-            at_ms,
+            submitted_at,
             cancelled: false,
-            ready_ms: None,
+            ready_at: None,
         }
     }
 
-    /// Whether it waits for other jobs.
+    /// Whether it waits for dependencies.
     pub fn waits(&self) -> bool {
         !self.cancelled && !self.job.depends_on.is_empty()
     }
 
-    /// The same job, cancelled. What only placing needs is left out, so that the record of a job
-    /// accepted under larger limits fits under smaller ones.
+    /// The record of the same job, cancelled. What only scheduling needs is left out, so that the
+    /// record of a job that was accepted under larger limits fits under smaller ones.
     pub fn cancelled(mut self) -> Self {
         self.cancelled = true;
         self.job.machine_types = None;
@@ -107,157 +122,130 @@
         self
     }
 
-    /// The same job when all that it awaited is done.
-    pub fn ready(mut self, at_ms: u64) -> Self {
-        self.ready_ms = Some(at_ms);
+    /// The record of the same job once all dependencies are done.
+    pub fn ready(mut self, ready_at: UnixTime) -> Self {
+        self.ready_at = Some(ready_at);
         self.job.depends_on = Vec::new();
         self
     }
 }
 
+/// How a job ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
+    /// Done or cancelled.
     pub state: JobState,
+    /// Number of its tasks.
     pub tasks: u64,
 }
 
+/// The leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeadRecord {
+pub struct LeaderRecord {
+    /// Name of its node.
     pub node: String,
+    /// Its term.
     pub term: u64,
 }
 
+/// The highest term ever taken.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TermRecord {
+    /// The term.
     pub term: u64,
 }
 
-/// The starts of one round, or a part of them. All have the round's number as their attempt. The
-/// undo list is implied: each start is undone by stopping that task's attempt on that machine.
+/// The starts of one round, or a part of them. All have the round's number as their attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoundRecord {
-    /// Job, machine, tasks.
-    pub starts: Vec<(String, String, Vec<u32>)>,
+    /// The starts, by job and machine.
+    pub starts: Vec<StartRecord>,
 }
 
+/// Starts of a job's tasks on one machine; stored as a list of its fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkRecord {
-    pub done: String,
-}
-
-pub fn job_key(id: &str) -> String {
-    format!("{JOBS}{id}")
-}
-
-pub fn final_key(id: &str) -> String {
-    format!("{FINAL}{id}")
-}
-
-/// The record of that part of an array of so many tasks. A small array has one, under the key that
-/// the version before pipelines uses for it as well.
-pub fn work_key(id: &JobId, tasks: u32, part: u32) -> String {
-    match tasks <= PROGRESS_RECORD_TASKS {
-        true => format!("{WORK}{id}/{part}"),
-        false => format!("{WORK}{id}/{part}p"),
+#[serde(
+    from = "(String, String, Vec<u32>)",
+    into = "(String, String, Vec<u32>)"
+)]
+pub struct StartRecord {
+    /// Id of the job.
+    pub job: String,
+    /// Name of the machine.
+    pub machine: String,
+    /// Indices of the tasks.
+    pub tasks: Vec<u32>,
+}
+
+impl From<(String, String, Vec<u32>)> for StartRecord {
+    fn from((job, machine, tasks): (String, String, Vec<u32>)) -> Self {
+        StartRecord {
+            job,
+            machine,
+            tasks,
+        }
     }
 }
 
-/// The job that a record of finished tasks is of, and the first task that it covers.
-pub fn work_of_key(key: &str) -> Option<(JobId, u32)> {
-    let (job, part) = key.strip_prefix(WORK)?.rsplit_once('/')?;
-    let first = match part.strip_suffix('p') {
-        Some(part) => part
-            .parse::<u32>()
-            .ok()?
-            .checked_mul(PROGRESS_RECORD_TASKS)?,
-        None => part
-            .parse::<u32>()
-            .ok()?
-            .checked_mul(LEGACY_PROGRESS_RECORD_TASKS)?,
-    };
-    Some((job.into(), first))
-}
-
-pub fn round_key(number: u64, part: u32) -> String {
-    match part {
-        0 => format!("{ROUNDS}{number:016x}"),
-        part => format!("{ROUNDS}{number:016x}.{part}"),
+impl From<StartRecord> for (String, String, Vec<u32>) {
+    fn from(record: StartRecord) -> Self {
+        (record.job, record.machine, record.tasks)
     }
 }
 
-/// The round that a record, whole or part, belongs to.
-pub fn round_of_key(key: &str) -> Option<u64> {
-    let name = key.strip_prefix(ROUNDS)?;
-    let number = name.split_once('.').map_or(name, |(number, _)| number);
-    u64::from_str_radix(number, 16).ok()
+/// Completed tasks of a part of an array.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProgressRecord {
+    /// Bitmap of the part as hexadecimal text, see [`crate::model::TaskSet::part_text`].
+    pub done: String,
 }
 
-/// Adds to a transaction a job's end: its final record comes and its live one goes, if that still has
-/// this version. Whoever changed it meanwhile wins.
-pub fn end(txn: Transaction, id: &str, version: u64, state: JobState, tasks: u64) -> Transaction {
-    let live = job_key(id);
-    let last = FinalRecord { state, tasks };
-    txn.compare(&live, version)
-        .put(final_key(id), final_value(&last))
-        .delete(live)
+/// Adds a job's end to a transaction: its final record comes and its live one goes, if that still
+/// has this version.
+pub fn finish_job(
+    transaction: Transaction,
+    id: &str,
+    version: u64,
+    state: JobState,
+    tasks: u64,
+) -> Transaction {
+    let live_key = job_key(id);
+    let record = FinalRecord { state, tasks };
+    transaction
+        .compare(&live_key, version)
+        .put(final_key(id), final_value(&record))
+        .delete(live_key)
 }
 
 /// A record as a value of the state service.
-pub fn value<T: Serialize>(record: &T) -> Value {
+pub fn to_value<T: Serialize>(record: &T) -> Value {
     rmp_serde::from_slice(&wire::encode(record)).unwrap_or(Value::Nil)
 }
 
-pub fn read<T: DeserializeOwned>(value: Value) -> Option<T> {
-    // Through bytes, as maps: the only form the records are written in.
+/// Reads a value as a record; `None` if it has another form.
+pub fn from_value<T: DeserializeOwned>(value: Value) -> Option<T> {
+    // Through bytes, as maps: the only form in which records are written.
     wire::decode(&wire::encode(&value)).ok()
 }
 
-/// Bytes of a value as JSON, the form in which the state service counts them; at least that many.
-pub fn json_size(value: &Value) -> usize {
-    match value {
-        Value::Nil | Value::Boolean(_) => 5,
-        Value::Integer(n) => n.to_string().len(),
-        // A decimal number takes at most 17 digits, a sign, a point and an exponent.
-        Value::F32(_) | Value::F64(_) => 24,
-        Value::String(text) => {
-            2 + text
-                .as_bytes()
-                .iter()
-                .map(|b| json_bytes(*b))
-                .sum::<usize>()
-        }
-        Value::Array(items) => 2 + items.iter().map(|item| json_size(item) + 1).sum::<usize>(),
-        Value::Map(fields) => {
-            let field = |(key, value): &(Value, Value)| json_size(key) + json_size(value) + 2;
-            2 + fields.iter().map(field).sum::<usize>()
-        }
-        Value::Binary(bytes) | Value::Ext(_, bytes) => 2 * bytes.len(),
-    }
-}
-
-/// A byte of a text as JSON; what some writers escape counts as escaped.
-fn json_bytes(byte: u8) -> usize {
-    match byte {
-        b'"' | b'\\' => 2,
-        0..0x20 | 0x7f.. => 6,
-        _ => 1,
-    }
-}
-
+/// A job's record as a value.
 pub fn job_value(record: &JobRecord) -> Value {
-    value(record)
+    to_value(record)
 }
 
+/// A final record as a value.
 pub fn final_value(record: &FinalRecord) -> Value {
-    value(record)
+    to_value(record)
 }
 
+/// Reads a job's record; `None` if the value has another form.
 pub fn read_job(value: Value) -> Option<JobRecord> {
-    read(value)
+    from_value(value)
 }
 
+/// Reads a final record; `None` if the value has another form.
 pub fn read_final(value: Value) -> Option<FinalRecord> {
-    read(value)
+    from_value(value)
 }
 
 #[cfg(test)]
--- a/src/engine/records/fixture_tests.rs
+++ b/src/engine/records/fixture_tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::constants::{LEGACY_PROGRESS_RECORD_TASKS, PROGRESS_RECORD_TASKS};
-use crate::model::TaskSet;
+use crate::model::{JobId, TaskSet};
 use crate::wire::user::{JobKind, Priority};
 use fixture_table::FixtureTable;
 use std::fmt::Debug;
@@ -12,8 +12,8 @@
 #[path = "../../../tests/support/fixture_table.rs"]
 mod fixture_table;
 
-const SUBMITTED_MS: u64 = 1_700_000_000_000;
-const READY_MS: u64 = 1_700_000_000_500;
+const SUBMITTED_AT: UnixTime = UnixTime::from_millis(1_700_000_000_000);
+const READY_AT: UnixTime = UnixTime::from_millis(1_700_000_000_500);
 
 fn minimal_job() -> JobSubmission {
     JobSubmission {
@@ -80,9 +80,9 @@
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
     let pinned = table.take_bytes(name);
-    assert_eq!(wire::encode(&value(record)), pinned, "{name}");
+    assert_eq!(wire::encode(&to_value(record)), pinned, "{name}");
     let stored: Value = rmp_serde::from_slice(&pinned).unwrap();
-    assert_eq!(read::<T>(stored).as_ref(), Some(record), "{name}");
+    assert_eq!(from_value::<T>(stored).as_ref(), Some(record), "{name}");
     assert_eq!(
         wire::decode::<T>(&pinned).ok().as_ref(),
         Some(record),
@@ -93,29 +93,32 @@
 #[test]
 fn records_of_jobs_are_read_and_written_as_pinned() {
     let mut table = FixtureTable::open("records/jobs.txt");
-    let plain = |job| JobRecord::new(job, SUBMITTED_MS);
+    let plain = |job| JobRecord::new(job, SUBMITTED_AT);
     let every_field = JobRecord {
         job: full_job(),
-        at_ms: SUBMITTED_MS,
+        submitted_at: SUBMITTED_AT,
         cancelled: true,
-        ready_ms: Some(READY_MS),
+        ready_at: Some(READY_AT),
     };
     for (name, record) in [
-        ("minimal", JobRecord::new(minimal_job(), 0)),
+        (
+            "minimal",
+            JobRecord::new(minimal_job(), UnixTime::from_millis(0)),
+        ),
         ("plain", plain(full_job())),
         ("every_field", every_field),
         ("cancelled", plain(full_job()).cancelled()),
         ("waiting", plain(waiting_job())),
         ("waiting_cancelled", plain(waiting_job()).cancelled()),
-        ("ready", plain(waiting_job()).ready(READY_MS)),
+        ("ready", plain(waiting_job()).ready(READY_AT)),
         (
             "ready_cancelled",
-            plain(waiting_job()).ready(READY_MS).cancelled(),
+            plain(waiting_job()).ready(READY_AT).cancelled(),
         ),
     ] {
         both_ways(&mut table, name, &record);
         let written = wire::encode(&job_value(&record));
-        assert_eq!(written, wire::encode(&value(&record)), "{name}");
+        assert_eq!(written, wire::encode(&to_value(&record)), "{name}");
         assert_eq!(read_job(job_value(&record)), Some(record), "{name}");
     }
     // Neither `job` nor `step`: not a record.
@@ -141,13 +144,17 @@
         both_ways(&mut table, name, &record);
         assert_eq!(read_final(final_value(&record)), Some(record), "{name}");
     }
-    let lead = LeadRecord {
+    let lead = LeaderRecord {
         node: "drone-1".into(),
         term: 1 << 40,
     };
     both_ways(&mut table, "lead", &lead);
     both_ways(&mut table, "term", &TermRecord { term: u64::MAX });
-    let starts = |job: &str, machine: &str, tasks| (job.into(), machine.into(), tasks);
+    let starts = |job: &str, machine: &str, tasks| StartRecord {
+        job: job.into(),
+        machine: machine.into(),
+        tasks,
+    };
     let round = RoundRecord {
         starts: vec![
             starts("run-000412", "host-000231", vec![0, 1, 99_999]),
@@ -162,7 +169,7 @@
     done.remove(PROGRESS_RECORD_TASKS + 64);
     for (name, part) in [("work", 0), ("work_part_1", 1), ("work_empty", 2)] {
         let done = done.part_text(part);
-        both_ways(&mut table, name, &WorkRecord { done });
+        both_ways(&mut table, name, &ProgressRecord { done });
     }
     table.finish();
 }
@@ -171,7 +178,7 @@
 fn ends_of_jobs_are_written_as_pinned() {
     let mut table = FixtureTable::open("records/ends.txt");
     for (name, state) in [("done", JobState::Done), ("cancelled", JobState::Cancelled)] {
-        let txn = end(Transaction::default(), "run-000412", 41, state, 16);
+        let txn = finish_job(Transaction::default(), "run-000412", 41, state, 16);
         assert_eq!(wire::encode(&txn), table.take_bytes(name), "{name}");
     }
     table.finish();
@@ -183,24 +190,24 @@
     let id = JobId::from("run-000412");
     let large = 100_000;
     for (name, key) in [
-        ("live", LIVE.to_owned()),
-        ("lead", LEAD.to_owned()),
-        ("jobs", JOBS.to_owned()),
-        ("term", TERM.to_owned()),
-        ("all_work", WORK.to_owned()),
-        ("all_rounds", ROUNDS.to_owned()),
+        ("live", LIVE_PREFIX.to_owned()),
+        ("lead", LEADER_KEY.to_owned()),
+        ("jobs", JOB_PREFIX.to_owned()),
+        ("term", TERM_KEY.to_owned()),
+        ("all_work", PROGRESS_PREFIX.to_owned()),
+        ("all_rounds", ROUND_PREFIX.to_owned()),
         ("job", job_key("run-000412")),
         ("final", final_key("run-000412")),
-        ("work_small", work_key(&id, 1, 0)),
+        ("work_small", progress_key(&id, 1, 0)),
         (
             "work_largest_small",
-            work_key(&id, PROGRESS_RECORD_TASKS, 0),
+            progress_key(&id, PROGRESS_RECORD_TASKS, 0),
         ),
         (
             "work_smallest_large",
-            work_key(&id, PROGRESS_RECORD_TASKS + 1, 0),
+            progress_key(&id, PROGRESS_RECORD_TASKS + 1, 0),
         ),
-        ("work_part", work_key(&id, large, 3)),
+        ("work_part", progress_key(&id, large, 3)),
         ("round", round_key(0x10_0001, 0)),
         ("round_part", round_key(0x10_0001, 12)),
         ("round_largest", round_key(u64::MAX, 0)),
@@ -220,20 +227,28 @@
         ("work_old_chunk", 12 * LEGACY_PROGRESS_RECORD_TASKS),
     ] {
         let key = table.take_text(name);
-        assert_eq!(work_of_key(&key), Some((id.clone(), first)), "{name}");
+        assert_eq!(
+            parse_progress_key(&key),
+            Some((id.clone(), first)),
+            "{name}"
+        );
     }
     for name in ["work_not_a_part", "work_overflow", "work_of_another_prefix"] {
-        assert_eq!(work_of_key(&table.take_text(name)), None, "{name}");
+        assert_eq!(parse_progress_key(&table.take_text(name)), None, "{name}");
     }
     for (name, number) in [
         ("round", 0x10_0001),
         ("round_part", 0x10_0001),
         ("round_largest", u64::MAX),
     ] {
-        assert_eq!(round_of_key(&table.take_text(name)), Some(number), "{name}");
+        assert_eq!(
+            parse_round_key(&table.take_text(name)),
+            Some(number),
+            "{name}"
+        );
     }
     for name in ["round_not_a_number", "round_of_another_prefix"] {
-        assert_eq!(round_of_key(&table.take_text(name)), None, "{name}");
+        assert_eq!(parse_round_key(&table.take_text(name)), None, "{name}");
     }
     table.finish();
 }
--- a/src/engine/records/tests.rs
+++ b/src/engine/records/tests.rs
@@ -1,27 +1,35 @@
 use super::*;
+use crate::constants::{LEGACY_PROGRESS_RECORD_TASKS, PROGRESS_RECORD_TASKS};
 use crate::model::TaskSet;
 use crate::wire::user::{JobKind, tests::job};
 
 #[test]
 fn records_survive_the_state_service() {
-    let record = JobRecord::new(job("run-7", JobKind::Gang, 2), 1_700_000_000_000);
+    let record = JobRecord::new(
+        job("run-7", JobKind::Gang, 2),
+        UnixTime::from_millis(1_700_000_000_000),
+    );
     assert_eq!(read_job(job_value(&record)).unwrap(), record);
     let round = RoundRecord {
-        starts: vec![("run-7".into(), "host-1".into(), vec![0, 1])],
+        starts: vec![StartRecord {
+            job: "run-7".into(),
+            machine: "host-1".into(),
+            tasks: vec![0, 1],
+        }],
     };
-    assert_eq!(read::<RoundRecord>(value(&round)).unwrap(), round);
-    assert_eq!(round_of_key(&round_key(1 << 40, 0)), Some(1 << 40));
-    assert_eq!(round_of_key(&round_key(1 << 40, 3)), Some(1 << 40));
+    assert_eq!(from_value::<RoundRecord>(to_value(&round)).unwrap(), round);
+    assert_eq!(parse_round_key(&round_key(1 << 40, 0)), Some(1 << 40));
+    assert_eq!(parse_round_key(&round_key(1 << 40, 3)), Some(1 << 40));
     assert_eq!(
-        work_of_key("work/run-7/2"),
+        parse_progress_key("work/run-7/2"),
         Some(("run-7".into(), 2 * LEGACY_PROGRESS_RECORD_TASKS))
     );
     let large = 100_000;
     assert_eq!(
-        work_of_key(&work_key(&"run-7".into(), large, 3)),
+        parse_progress_key(&progress_key(&"run-7".into(), large, 3)),
         Some(("run-7".into(), 3 * PROGRESS_RECORD_TASKS))
     );
-    assert!(read::<RoundRecord>(Value::from("x")).is_none());
+    assert!(from_value::<RoundRecord>(Value::from("x")).is_none());
 }
 
 macro_rules! fixture {
@@ -52,7 +60,7 @@
 }
 
 fn stored<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    read(rmp_serde::from_slice(bytes).unwrap())
+    from_value(rmp_serde::from_slice(bytes).unwrap())
 }
 
 fn gang() -> JobRecord {
@@ -60,7 +68,7 @@
     job.machine_types = Some(vec!["g8".into()]);
     job.zone = Some("east".into());
     job.deadline_s = Some(900.0);
-    JobRecord::new(job, 1_700_000_000_000)
+    JobRecord::new(job, UnixTime::from_millis(1_700_000_000_000))
 }
 
 /// What both versions have is written as the production version does, to the byte.
@@ -82,29 +90,33 @@
         assert_eq!(stored::<FinalRecord>(bytes).as_ref(), Some(&last));
         both(bytes, final_value(&last));
     }
-    let lead = LeadRecord {
+    let lead = LeaderRecord {
         node: "n1".into(),
         term: 7,
     };
     assert_eq!(
-        stored::<LeadRecord>(production!("lead")).as_ref(),
+        stored::<LeaderRecord>(production!("lead")).as_ref(),
         Some(&lead)
     );
-    both(production!("lead"), value(&lead));
+    both(production!("lead"), to_value(&lead));
     let term = TermRecord { term: 7 };
     assert_eq!(
         stored::<TermRecord>(production!("term")).as_ref(),
         Some(&term)
     );
-    both(production!("term"), value(&term));
+    both(production!("term"), to_value(&term));
     let round = RoundRecord {
-        starts: vec![("run-7".into(), "host-1".into(), vec![0, 1])],
+        starts: vec![StartRecord {
+            job: "run-7".into(),
+            machine: "host-1".into(),
+            tasks: vec![0, 1],
+        }],
     };
     assert_eq!(
         stored::<RoundRecord>(production!("round")).as_ref(),
         Some(&round)
     );
-    both(production!("round"), value(&round));
+    both(production!("round"), to_value(&round));
 }
 
 /// A large array's progress, in the larger chunks of the production version; a small one's record is
@@ -116,14 +128,14 @@
         ("work/run-7/0", production!("work0")),
         ("work/run-7/1", production!("work1")),
     ] {
-        let (_, first) = work_of_key(key).unwrap();
-        let record: WorkRecord = stored(bytes).unwrap();
+        let (_, first) = parse_progress_key(key).unwrap();
+        let record: ProgressRecord = stored(bytes).unwrap();
         done.add_text(first, &record.done, 10_000).unwrap();
     }
     let expected = [0, 5_000, LEGACY_PROGRESS_RECORD_TASKS + 70];
     assert_eq!(done.iter().collect::<Vec<_>>(), expected);
     assert_eq!(
-        work_key(&"run-7".into(), PROGRESS_RECORD_TASKS, 0),
+        progress_key(&"run-7".into(), PROGRESS_RECORD_TASKS, 0),
         "work/run-7/0"
     );
 }
@@ -142,14 +154,16 @@
 fn the_production_version_never_takes_a_waiting_job_for_one_that_may_start() {
     let mut waiting = gang();
     waiting.job.depends_on = vec!["run-6".into()];
-    let as_production = |record: &JobRecord| read::<Production>(job_value(record));
+    let as_production = |record: &JobRecord| from_value::<Production>(job_value(record));
     assert!(as_production(&waiting).is_none());
     assert_eq!(read_job(job_value(&waiting)), Some(waiting.clone()));
-    let ready = waiting.clone().ready(1_700_000_000_500);
+    let ready = waiting
+        .clone()
+        .ready(UnixTime::from_millis(1_700_000_000_500));
     assert!(as_production(&ready).is_some_and(|r| !r.cancelled));
     assert_eq!(
-        read_job(job_value(&ready)).unwrap().ready_ms,
-        ready.ready_ms
+        read_job(job_value(&ready)).unwrap().ready_at,
+        ready.ready_at
     );
     let cancelled = waiting.cancelled();
     assert!(as_production(&cancelled).is_some_and(|r| r.cancelled));
@@ -160,7 +174,7 @@
     let mut job = job(id, kind, tasks);
     job.expected_duration_s = 10.0;
     job.depends_on = awaits.iter().map(|id| (*id).to_owned()).collect();
-    JobRecord::new(job, 2_000)
+    JobRecord::new(job, UnixTime::from_millis(2_000))
 }
 
 /// The stored bytes say what the record says, and the record is written as these bytes.
@@ -170,7 +184,7 @@
     record: &T,
 ) {
     assert_eq!(stored::<T>(bytes).as_ref(), Some(record));
-    assert_eq!(wire::encode(&value(record)), bytes);
+    assert_eq!(wire::encode(&to_value(record)), bytes);
 }
 
 /// Guards against a job of a pipeline that is lost, or released twice or too early, because its
@@ -187,10 +201,10 @@
     reads_and_writes(dependencies!("waiting_for_two"), &for_two);
     let called_off = submitted("run-9", JobKind::Array, 3, &["run-7"]).cancelled();
     reads_and_writes(dependencies!("waiting_cancelled"), &called_off);
-    let ready_ms = stored::<JobRecord>(dependencies!("ready")).and_then(|record| record.ready_ms);
+    let ready_ms = stored::<JobRecord>(dependencies!("ready")).and_then(|record| record.ready_at);
     let ready = waiting.ready(ready_ms.expect("when it was released"));
     reads_and_writes(dependencies!("ready"), &ready);
-    assert!(!ready.waits() && ready.ready_ms > Some(ready.at_ms));
+    assert!(!ready.waits() && ready.ready_at > Some(ready.submitted_at));
     for (bytes, state, tasks) in [
         (dependencies!("final_done"), JobState::Done, 2),
         (
@@ -213,11 +227,11 @@
         (0, "work/run-1/0p", dependencies!("work0p")),
         (1, "work/run-1/1p", dependencies!("work1p")),
     ] {
-        assert_eq!(work_key(&"run-1".into(), tasks, part), key);
-        let (_, first) = work_of_key(key).unwrap();
-        let record: WorkRecord = stored(bytes).unwrap();
+        assert_eq!(progress_key(&"run-1".into(), tasks, part), key);
+        let (_, first) = parse_progress_key(key).unwrap();
+        let record: ProgressRecord = stored(bytes).unwrap();
         done.add_text(first, &record.done, tasks).unwrap();
-        let again = WorkRecord {
+        let again = ProgressRecord {
             done: done.part_text(part),
         };
         reads_and_writes(bytes, &again);
@@ -237,12 +251,12 @@
         (2, "rounds/0000000000100001.2", dependencies!("round2")),
     ] {
         assert_eq!(round_key(number, part), key);
-        assert_eq!(round_of_key(key), Some(number));
+        assert_eq!(parse_round_key(key), Some(number));
         let record: RoundRecord = stored(bytes).unwrap();
         reads_and_writes(bytes, &record);
-        for (job, machine, on_machine) in record.starts {
-            assert!(job == "run-1" && machine.starts_with("host-"));
-            tasks.extend(on_machine);
+        for start in record.starts {
+            assert!(start.job == "run-1" && start.machine.starts_with("host-"));
+            tasks.extend(start.tasks);
         }
     }
     tasks.sort_unstable();
--- a/src/engine/retry.rs
+++ b/src/engine/retry.rs
@@ -1,41 +1,61 @@
-//! Repeating calls that fail.
+//! Pauses between calls that fail.
 
+use super::context::Context;
 use crate::constants;
-use crate::model::Ms;
+use crate::model::{Timestamp, whole_millis};
 use rand::Rng;
-use rand::rngs::SmallRng;
+use std::time::Duration;
 
-/// A call that is repeated with growing pauses while it fails.
+/// The schedule of a call that is repeated, with growing pauses while it fails.
 #[derive(Debug, Default)]
 pub(super) struct Retry {
-    /// Time of the next call, ms.
-    pub(super) at: Ms,
-    /// Pause after the last failure, ms; 0 after a success.
-    pub(super) pause: u64,
-    /// Whether a call is under way.
-    pub(super) busy: bool,
+    next_at: Timestamp,
+    /// Pause after the last failure; zero after a success.
+    pause: Duration,
+    in_flight: bool,
 }
 
 impl Retry {
     /// Whether the call is to be made now.
-    pub(super) fn due(&self, now: Ms) -> bool {
-        !self.busy && now >= self.at
+    pub(super) fn is_due(&self, now: Timestamp) -> bool {
+        !self.in_flight && now >= self.next_at
     }
 
-    /// The call succeeded; the next one is due then.
-    pub(super) fn worked(&mut self, next: Ms) {
+    /// Whether the outcome of a call is awaited.
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.in_flight
+    }
+
+    /// The call is made.
+    pub(super) fn begin(&mut self) {
+        self.in_flight = true;
+    }
+
+    /// The call succeeded; the next one is due at `next_at`.
+    pub(super) fn succeeded(&mut self, next_at: Timestamp) {
         *self = Retry {
-            at: next,
-            pause: 0,
-            busy: false,
+            next_at,
+            pause: Duration::ZERO,
+            in_flight: false,
         };
     }
 
     /// The call failed: it is repeated after a pause twice as long as the last one.
-    pub(super) fn failed(&mut self, now: Ms, rng: &mut SmallRng) {
-        self.busy = false;
-        self.pause = (self.pause * 2).clamp(constants::RETRY_INITIAL_MS, constants::RETRY_MAX_MS);
+    pub(super) fn failed(&mut self, context: &mut Context) {
+        self.in_flight = false;
+        self.pause =
+            (self.pause * 2).clamp(constants::RETRY_INITIAL_PAUSE, constants::RETRY_MAX_PAUSE);
+        let longest = whole_millis(self.pause);
         // Jitter keeps three nodes from asking in step after an outage.
-        self.at = now + rng.random_range(self.pause / 2..=self.pause);
+        let jittered = context.rng().random_range(longest / 2..=longest);
+        self.next_at = context.now() + Duration::from_millis(jittered);
+    }
+
+    /// The next call is due no sooner and no later than `next_at`.
+    pub(super) fn postpone(&mut self, next_at: Timestamp) {
+        self.next_at = next_at;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/engine/retry/tests.rs
@@ -0,0 +1,30 @@
+use super::*;
+use crate::engine::test_support::context_at;
+
+#[test]
+fn pauses_grow_up_to_a_maximum_and_end_with_a_success() {
+    let mut retry = Retry::default();
+    let mut context = context_at(0);
+    for failures in 1..10 {
+        retry.begin();
+        assert!(!retry.is_due(context.now()));
+        retry.failed(&mut context);
+        let longest = constants::RETRY_INITIAL_PAUSE * (1 << (failures - 1));
+        let longest = longest.min(constants::RETRY_MAX_PAUSE);
+        assert!(!retry.is_due(context.now()));
+        assert!(retry.is_due(context.now() + longest), "{failures} failures");
+    }
+    retry.begin();
+    assert!(retry.is_in_flight());
+    retry.succeeded(context.now());
+    assert!(retry.is_due(context.now()));
+}
+
+#[test]
+fn a_postponed_call_is_not_due_before() {
+    let mut retry = Retry::default();
+    let now = context_at(0).now();
+    retry.postpone(now + constants::LEASE_TTL);
+    assert!(!retry.is_due(now));
+    assert!(retry.is_due(now + constants::LEASE_TTL));
+}
--- a/src/engine/rounds/mod.rs
+++ b/src/engine/rounds/mod.rs
@@ -1,42 +1,74 @@
-//! Rounds: planned on the model, written as conditional transactions, then sent to the workers.
+//! Rounds: starts that are planned together, share one attempt number, and are made durable by
+//! compare-and-swap before any of them is sent.
 //!
-//! This module plans. [`writing`] makes a round durable, and [`housekeeping`] undoes starts that
-//! stall and removes the records of rounds that are over.
+//! A round that fits into one transaction is written by one. A larger one, always a single gang, is
+//! written by several: all but the last write records that have no effect by themselves, and the
+//! last one makes the round valid as a whole. If the leader is lost in between, its successor finds
+//! starts that no machine reports, and undoes them like any other start that did not arrive. Every
+//! transaction has the same conditions: the leader's key and the versions of the round's jobs. So
+//! none can succeed after the job was cancelled, or after another node became leader, however late
+//! it is carried out.
+//!
+//! [`writing`] makes a round durable, [`maintenance`] undoes starts that stall and removes the
+//! records of rounds that are over, and [`orphans`] finds records that late writes have left.
 
-mod housekeeping;
+mod maintenance;
+mod orphans;
+mod write_state;
 mod writing;
 
-use super::Engine;
+use super::records::StartRecord;
 use crate::constants;
-use crate::model::{JobId, MachineId, Ms, Resources};
-use crate::placement::{self, Bounds, Candidate, QuotaUsage, RoundPlan};
-use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
-use writing::Writing;
+use crate::model::{JobId, MachineId, Timestamp};
+use orphans::OrphanSearch;
+use std::collections::BTreeMap;
+use write_state::RoundWrite;
 
 /// Starts of tasks of one job on one machine.
 #[derive(Debug, Clone)]
 pub(super) struct StartGroup {
-    pub job: JobId,
-    pub machine: MachineId,
-    pub tasks: Vec<u32>,
+    pub(super) job: JobId,
+    pub(super) machine: MachineId,
+    /// Indices of the tasks.
+    pub(super) tasks: Vec<u32>,
+}
+
+impl From<StartRecord> for StartGroup {
+    fn from(record: StartRecord) -> Self {
+        StartGroup {
+            job: JobId::from(record.job.as_str()),
+            machine: MachineId::from(record.machine.as_str()),
+            tasks: record.tasks,
+        }
+    }
+}
+
+impl StartGroup {
+    fn to_record(&self) -> StartRecord {
+        StartRecord {
+            job: self.job.to_string(),
+            machine: self.machine.to_string(),
+            tasks: self.tasks.clone(),
+        }
+    }
 }
 
 /// One record of a round in the state service.
 #[derive(Debug)]
 pub(super) struct RoundPart {
-    pub key: String,
-    pub starts: Vec<StartGroup>,
+    /// Key of the record.
+    pub(super) key: String,
+    pub(super) starts: Vec<StartGroup>,
 }
 
 /// A round: starts that share one attempt number, in one or more records.
 #[derive(Debug, Default)]
-pub(super) struct Round {
-    pub parts: Vec<RoundPart>,
+struct Round {
+    parts: Vec<RoundPart>,
 }
 
 impl Round {
-    pub fn starts(&self) -> impl Iterator<Item = &StartGroup> {
+    fn starts(&self) -> impl Iterator<Item = &StartGroup> {
         self.parts.iter().flat_map(|part| &part.starts)
     }
 }
@@ -45,166 +77,48 @@
 #[derive(Debug, Default)]
 pub(super) struct Rounds {
     /// Durable rounds whose records are still needed.
-    pub open: BTreeMap<u64, Round>,
+    open: BTreeMap<u64, Round>,
     /// Rounds being written: at most one of a single transaction and one of several.
-    writing: BTreeMap<u64, Writing>,
+    writing: BTreeMap<u64, RoundWrite>,
     /// Rounds of this term so far.
     count: u64,
-    housekeeping_at: Ms,
-    orphans: housekeeping::OrphanSearch,
+    next_maintenance_at: Timestamp,
+    orphans: OrphanSearch,
 }
 
-impl Engine {
-    /// Plans a round if something has changed that may allow a placement.
-    pub(super) fn schedule_when_due(&mut self) {
-        self.repeat_round_writes();
-        let now = self.now;
-        let confident = self.holds_valid_lease();
-        let Some(leader) = self.leader_mut() else {
-            return;
-        };
-        let busy = leader.rounds.is_writing_single();
-        if busy || !leader.needs_scheduling || now < leader.next_scheduling_at || !confident {
-            return;
-        }
-        leader.needs_scheduling = false;
-        leader.next_scheduling_at = now + constants::SCHEDULING_INTERVAL_MS;
-        self.refresh_snapshots();
-        let plan = self.plan();
-        self.write_round(plan.starts);
-        self.write_round(plan.large_gang);
-        self.set_demand(plan.unplaced);
+impl Rounds {
+    /// Adds a part of a durable round that an earlier leader wrote.
+    pub(super) fn add_open_part(&mut self, number: u64, part: RoundPart) {
+        self.open.entry(number).or_default().parts.push(part);
     }
 
-    /// Whether a round is to be planned as soon as may be.
-    pub(super) fn is_scheduling_imminent(&self) -> bool {
-        self.holds_valid_lease()
-            && self
-                .leader()
-                .is_some_and(|l| l.needs_scheduling && !l.autoscaling.demand.is_empty())
+    /// The number of the next round of that term; `None` if the term has no more.
+    fn next_number(&mut self, term: u64) -> Option<u64> {
+        self.count += 1;
+        let exhausted = self.count >> constants::ROUND_BITS != 0;
+        (!exhausted).then_some((term << constants::ROUND_BITS) | self.count)
     }
 
-    /// Plans on the model as it stands.
-    fn plan(&self) -> RoundPlan {
-        let Some(leader) = self.leader() else {
-            return RoundPlan::default();
-        };
-        let candidates = self.candidates();
-        if candidates.is_empty() {
-            return RoundPlan::default();
-        }
-        let bounds = self.round_bounds();
-        let mut snapshots = leader.machines.ready(placement::least_room(&candidates));
-        placement::plan(&candidates, &mut snapshots, &mut self.quotas(), bounds)
+    /// Whether any round is being written.
+    pub(super) fn is_writing(&self) -> bool {
+        !self.writing.is_empty()
     }
 
-    /// What a round may hold so that one transaction writes it.
-    fn round_bounds(&self) -> Bounds {
-        let changes = self.settings.cluster.state.txn_ops;
-        let records = self.records_per_transaction();
-        // Besides its jobs, a round's conditions name the leader's key and its own records.
-        let conditions = 4 * changes;
-        Bounds {
-            starts: records * self.starts_per_record(),
-            jobs: conditions - 1 - records,
-            large_gang: self
-                .leader()
-                .is_some_and(|leader| !leader.rounds.is_writing_several()),
-        }
+    /// Whether a round of one transaction is being written.
+    pub(super) fn is_writing_single(&self) -> bool {
+        self.writing.values().any(|write| !write.needs_several())
     }
 
-    /// Starts that one record holds.
-    fn starts_per_record(&self) -> usize {
-        let by_size = self.settings.value_max() / constants::TASK_START_RECORD_BYTES;
-        by_size.min(constants::MAX_STARTS_PER_TRANSACTION)
+    /// Whether a round of several transactions is being written.
+    pub(super) fn is_writing_several(&self) -> bool {
+        self.writing.values().any(RoundWrite::needs_several)
     }
 
-    /// Records of a round that one transaction writes.
-    fn records_per_transaction(&self) -> usize {
-        let by_size = constants::MAX_STARTS_PER_TRANSACTION / self.starts_per_record();
-        by_size.clamp(1, self.settings.cluster.state.txn_ops)
-    }
-
-    /// What teams use, counting every task that may be on a machine.
-    pub(super) fn quotas(&self) -> QuotaUsage {
-        let mut quotas = QuotaUsage::default();
-        for team in &self.settings.cluster.teams {
-            quotas
-                .limits
-                .insert(team.name.as_str().into(), team.limit());
-        }
-        for job in self.jobs.values() {
-            *quotas.used.entry(job.spec.team.clone()).or_default() += job.allocated();
-        }
-        quotas
-    }
-
-    /// Jobs that may start tasks now, in the order in which they are served.
-    pub(super) fn candidates(&self) -> Vec<Candidate<'_>> {
-        let within_guarantee = self.within_guarantee();
-        let orphaned: BTreeSet<&JobId> = self
-            .leader()
-            .into_iter()
-            .flat_map(|l| l.machines.values())
-            .flat_map(|m| m.orphaned_tasks.iter().map(|(task, _)| &task.job))
-            .collect();
-        let mut candidates: Vec<Candidate<'_>> = self
-            .jobs
-            .iter()
-            .filter(|(id, job)| {
-                job.is_open()
-                    && !job.pending.is_empty()
-                    && job.backoff_until <= self.now
-                    // No task of a job starts while a machine still has one that is unaccounted for.
-                    && !orphaned.contains(id)
-                    // A gang restarts only when its last attempt is surely gone.
-                    && (!job.is_gang() || job.placements.is_empty())
-            })
-            .filter_map(|(id, job)| {
-                let zones = self.zones_of(job)?;
-                Some(Candidate {
-                    id,
-                    job,
-                    within_guarantee: within_guarantee.contains(id),
-                    starving: job.is_starving(self.unix_ms),
-                    zones,
-                })
-            })
-            .collect();
-        placement::order(&mut candidates);
-        candidates
-    }
-
-    /// The job's placed tasks by zone; `None` while a machine's zone is not known yet.
-    fn zones_of(&self, job: &crate::model::Job) -> Option<BTreeMap<Arc<str>, u32>> {
-        let leader = self.leader()?;
-        let mut zones = BTreeMap::new();
-        for placement in job.placements.values() {
-            let zone = &leader.machines.get(&placement.machine)?.zone;
-            if zone.is_empty() && (job.spec.single_zone || job.spec.spread_zones) {
-                return None;
-            }
-            *zones.entry(zone.clone()).or_insert(0) += 1;
-        }
-        Some(zones)
-    }
-
-    /// Jobs that fit into their team's guarantee together with the team's earlier ones.
-    pub(super) fn within_guarantee(&self) -> BTreeSet<JobId> {
-        let mut open: Vec<_> = self.jobs.iter().filter(|(_, job)| job.is_open()).collect();
-        open.sort_by_key(|(id, job)| (job.submitted_at, *id));
-        let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
-        let mut within = BTreeSet::new();
-        for (id, job) in open {
-            let Some(team) = self.settings.team(&job.spec.team) else {
-                continue;
-            };
-            let sum = sums.entry(&job.spec.team).or_default();
-            *sum += job.spec.total_request();
-            if team.guarantee().is_some() && team.guarantee().holds(*sum) {
-                within.insert(id.clone());
-            }
-        }
-        within
+    /// Whether a record of this round is or will be needed.
+    fn knows(&self, number: u64) -> bool {
+        self.open.contains_key(&number) || self.writing.contains_key(&number)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/engine/stopping.rs
@@ -0,0 +1,106 @@
+//! Stopping tasks, and commands that are sent to workers directly, without waiting for their
+//! heartbeats.
+
+use super::Engine;
+use super::outbox::Outbox;
+use crate::model::{JobId, Machine, MachineId, Placement, TaskId};
+use crate::wire::worker::{DirectCommands, WorkerCommand};
+use std::collections::BTreeMap;
+
+impl Engine {
+    /// Tells a task to write a checkpoint and stop; of a gang, all of them.
+    pub(super) fn stop_task(&mut self, task: &TaskId) {
+        let now = self.context.now();
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let grace_s = job.spec.checkpoint_grace_s();
+        if job.is_gang() {
+            job.stop_all_tasks(grace_s, now);
+        } else if let Some(placement) = job.placements.get_mut(&task.index) {
+            placement.request_stop(grace_s, now);
+        }
+        self.send_stops(&task.job);
+    }
+
+    /// One task of a gang gone, all go: the others are told at once, whatever they have noticed
+    /// themselves, with the grace to write a checkpoint.
+    pub(super) fn stop_rest_of_gang(&mut self, id: &JobId) {
+        let now = self.context.now();
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let runs_on = |placement: &Placement| placement.stop_request.is_none();
+        if job.is_gang() && job.is_open() && job.placements.values().any(runs_on) {
+            tracing::info!(job = %id, "gang lost a task, stopping the rest");
+            job.stop_all_tasks(job.spec.checkpoint_grace_s(), now);
+            self.send_stops(id);
+        }
+    }
+
+    /// Sends a job's stops directly, without waiting for the machines' heartbeats.
+    pub(super) fn send_stops(&mut self, id: &JobId) {
+        let Some(leader) = self.leadership.leader_mut() else {
+            return;
+        };
+        let Some(job) = self.jobs.get(id) else { return };
+        let mut stops: BTreeMap<&MachineId, Vec<WorkerCommand>> = BTreeMap::new();
+        for (index, placement) in &job.placements {
+            let Some(stop) = placement.stop_request else {
+                continue;
+            };
+            let task = TaskId {
+                job: id.clone(),
+                index: *index,
+            };
+            let command = WorkerCommand::Stop {
+                task: task.to_string(),
+                attempt: placement.attempt,
+                grace_s: stop.grace_s,
+            };
+            stops.entry(&placement.machine).or_default().push(command);
+        }
+        for (machine, commands) in stops {
+            if let Some(machine) = leader.machines.get_mut(machine) {
+                send_directly(&mut self.outbox, machine, commands);
+            }
+        }
+    }
+
+    /// Has a machine send a heartbeat at once, so that what was written for it does not wait for
+    /// its next one: a worker that sees a higher token sends one, though not more often than twice
+    /// a lease. The message carries no command, so it is safe however late or often it arrives,
+    /// which a start sent directly would not be.
+    pub(super) fn request_heartbeat(&mut self, id: &MachineId) {
+        let now = self.context.now();
+        let min_interval = self.context.timing().worker_lease / 2;
+        if self.pending_responses.has_for(id) {
+            return;
+        }
+        let leader = self.leadership.leader_mut();
+        let Some(machine) = leader.and_then(|leader| leader.machines.get_mut(id)) else {
+            return;
+        };
+        let requested_at = machine.heartbeat_requested_at;
+        if requested_at.is_some_and(|requested_at| now < requested_at + min_interval) {
+            return;
+        }
+        machine.heartbeat_requested_at = Some(now);
+        machine.fencing_token = machine.fencing_token.next();
+        send_directly(&mut self.outbox, machine, Vec::new());
+    }
+}
+
+/// Sends commands to a machine directly, if its address is known.
+fn send_directly(outbox: &mut Outbox, machine: &mut Machine, commands: Vec<WorkerCommand>) {
+    let Some(address) = machine.address else {
+        return;
+    };
+    machine.direct_commands += 1;
+    let commands = DirectCommands {
+        fencing_token: machine.fencing_token.0,
+        incarnation: machine.heartbeat_sequence.incarnation,
+        commands,
+    };
+    outbox.send_commands(address, commands);
+}
--- a/src/engine/tests/cancellation_forward.rs
+++ b/src/engine/tests/cancellation_forward.rs
@@ -5,10 +5,10 @@
 //! never called anything but cancelled once a cancellation before it is durable (`orphaned`), nor by
 //! one node after another has called it cancelled (`went_back`).
 
+use super::world::Ms;
 use super::world::World;
 use super::{ends_well, quick, world_with};
 use crate::engine::{Reply, ReplyId, records};
-use crate::model::Ms;
 use crate::wire::store::Transaction;
 use crate::wire::user::{JobKind, JobState, JobSubmission};
 use rand::SeedableRng;
@@ -199,8 +199,8 @@
     world
         .jobs
         .insert(FIRST.into(), quick(FIRST, JobKind::Gang, 2));
-    world.put(records::TERM, production!("term"));
-    world.put(records::LEAD, production!("lead"));
+    world.put(records::TERM_KEY, production!("term"));
+    world.put(records::LEADER_KEY, production!("lead"));
     world.put(&records::job_key(FIRST), production!("open"));
     world.start(0);
     world.start(2);
@@ -280,7 +280,7 @@
                     world.remove(&records::job_key(FIRST));
                 }
                 questions.keep_asking(&mut world, [0, 2], 20, 90);
-                world.remove(records::LEAD);
+                world.remove(records::LEADER_KEY);
                 questions.keep_asking(&mut world, [0, 2], 20, 290);
                 world.faults = Default::default();
                 questions.run(&mut world, 3_000);
@@ -381,8 +381,8 @@
             world.run(1);
         }
         let end = world.now;
-        world.remove(records::LEAD);
-        let gave_up = |w: &World| !w.engine(old).unwrap().view().leading;
+        world.remove(records::LEADER_KEY);
+        let gave_up = |w: &World| !w.engine(old).unwrap().status().leading;
         met += usize::from(world.run_until(1_300, gave_up));
         world.run(end + 1_450 - world.now);
         world.faults.slow_answers.clear();
--- a/src/engine/tests/combined_faults.rs
+++ b/src/engine/tests/combined_faults.rs
@@ -136,7 +136,7 @@
     );
     world.faults.store_refuses.insert(leader);
     world.faults.no_peers.insert(leader);
-    world.run(constants::LEASE_TTL_MS + 100);
+    world.run(crate::model::whole_millis(constants::LEASE_TTL) + 100);
     world.cancel("run-3");
     world.faults.cut.clear();
     all_report_to(&mut world, leader);
@@ -244,7 +244,7 @@
     // Its candidacy is under way; what it calls after that is answered at once.
     world.run(2_200);
     world.faults.slow_calls.clear();
-    let leads = |w: &World| w.engine(slow_one).unwrap().view().leading;
+    let leads = |w: &World| w.engine(slow_one).unwrap().status().leading;
     assert!(world.run_until(3_000, leads));
     all_report_to(&mut world, slow_one);
     world.run(12_000);
@@ -605,7 +605,10 @@
         world.submit(quick("run-3", JobKind::Service, 1));
         world.run(5_000);
         world.faults.zones_cut = false;
-        let all = world.run_until(constants::LEASE_TTL_MS + 90_000, |w| w.waiting().is_empty());
+        let all = world.run_until(
+            crate::model::whole_millis(constants::LEASE_TTL) + 90_000,
+            |w| w.waiting().is_empty(),
+        );
         assert!(all, "{:?}: {}", world.waiting(), world.describe());
         recovers(&mut world);
         assert_eq!(world.running("run-1"), 0);
--- a/src/engine/tests/dependencies.rs
+++ b/src/engine/tests/dependencies.rs
@@ -2,8 +2,9 @@
 
 use super::world::World;
 use super::{ends_well, quick, world_with};
-use crate::model::{Job as Known, JobPhase, JobSpec};
+use crate::model::{Job as Known, JobPhase, JobSpec, Timestamp, UnixTime};
 use crate::wire::user::{JobKind, JobState, JobSubmission, Priority, tests::job};
+use std::time::Duration;
 
 fn step(id: &str, kind: JobKind, tasks: u64, awaits: &[&str]) -> JobSubmission {
     let mut job = quick(id, kind, tasks);
@@ -197,13 +198,19 @@
 #[test]
 fn age_counts_from_when_a_job_could_begin_and_the_deadline_from_its_submission() {
     let mut spec = JobSpec::from(&quick("run-1", JobKind::Array, 1));
-    spec.deadline_ms = Some(5_000);
-    let mut job = Known::new(spec, 1, 1_000, JobPhase::Open, 0);
-    let late = 1_000 + 2 * crate::constants::STARVATION_AFTER_MS;
+    spec.deadline = Some(Duration::from_secs(5));
+    let mut job = Known::new(
+        spec,
+        1,
+        UnixTime::from_millis(1_000),
+        JobPhase::Open,
+        Timestamp::default(),
+    );
+    let late = UnixTime::from_millis(1_000).saturating_add(2 * crate::constants::STARVATION_AFTER);
     assert!(job.is_starving(late));
-    job.ready_at = late - 1_000;
+    job.ready_at = UnixTime::from_millis(late.as_millis() - 1_000);
     assert!(!job.is_starving(late));
-    assert_eq!(job.deadline(), 6_000);
+    assert_eq!(job.deadline(), UnixTime::from_millis(6_000));
 }
 
 /// A wide fan costs no more than its records: what a hundred jobs await, and one that awaits many.
--- a/src/engine/tests/guards.rs
+++ b/src/engine/tests/guards.rs
@@ -72,7 +72,7 @@
     world.faults.hung.insert(machine.clone());
     world.faults.capacity = Some(0);
     assert!(world.run_until(60_000, |w| returns(w, &machine) == 1));
-    assert!(world.run_until(20_000, |w| w.keys(records::ROUNDS) == 0));
+    assert!(world.run_until(20_000, |w| w.keys(records::ROUND_PREFIX) == 0));
     for node in (0..3).filter(|node| *node != first) {
         world.crash(node);
     }
--- a/src/engine/tests/large_gangs.rs
+++ b/src/engine/tests/large_gangs.rs
@@ -1,8 +1,8 @@
 //! Gangs whose starts one transaction does not hold: their rounds are written by several.
 
+use super::world::Ms;
 use super::world::{NO_LIMIT, World};
 use super::{ends_well, quick};
-use crate::model::Ms;
 use crate::wire::user::{JobKind, JobSubmission};
 
 /// The least limits that the settings allow: 128 starts a transaction.
--- a/src/engine/tests/leader_change_at_scale.rs
+++ b/src/engine/tests/leader_change_at_scale.rs
@@ -3,8 +3,8 @@
 
 use super::large::fleet;
 use super::quick;
+use super::world::Ms;
 use super::world::World;
-use crate::model::Ms;
 use crate::wire::user::JobKind;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
--- a/src/engine/tests/links.rs
+++ b/src/engine/tests/links.rs
@@ -2,8 +2,8 @@
 //! overtake one another, with more work than room.
 
 use super::quick;
+use super::world::Ms;
 use super::world::World;
-use crate::model::Ms;
 use crate::wire::user::{JobKind, JobSubmission, Priority};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
--- a/src/engine/tests/machine_lists.rs
+++ b/src/engine/tests/machine_lists.rs
@@ -22,7 +22,7 @@
         let before = world.listed_pages;
         world.run(60_000);
         let pages = world.listed_pages - before;
-        let lists = 60_000 / constants::MACHINE_LIST_INTERVAL_MS + 1;
+        let lists = 60_000 / crate::model::whole_millis(constants::MACHINE_LIST_INTERVAL) + 1;
         let most = match fault {
             ListFault::Repeats => 2 * lists,
             _ => lists * u64::from(constants::MAX_MACHINE_LIST_PAGES + 1),
