--- a/src/engine/tests/mod.rs
+++ b/src/engine/tests/mod.rs
@@ -186,11 +186,13 @@
     assert!(world.run_until(60_000, |w| w.running("run-1") == 1));
     let old = world.leader().unwrap();
     world.faults.store_refuses.insert(old);
-    assert!(world.run_until(2 * constants::LEASE_TTL_MS, |w| {
-        w.leader().is_some_and(|l| l != old)
-    }));
+    assert!(
+        world.run_until(2 * crate::model::whole_millis(constants::LEASE_TTL), |w| {
+            w.leader().is_some_and(|l| l != old)
+        })
+    );
     world.run(2_000);
-    assert!(!world.engine(old).unwrap().view().leading);
+    assert!(!world.engine(old).unwrap().status().leading);
     world.submit(quick("run-2", JobKind::Array, 2));
     ends_well(&mut world, "run-2", 60_000);
     assert_eq!(world.starts, 3, "nothing was started again");
@@ -471,7 +473,7 @@
     world.faults.no_peers.insert(old);
     assert!(world.run_until(8_000, |w| w.leader() != Some(old) && w.leader().is_some()));
     world.run(8_000);
-    let alone = world.engine(old).unwrap().view();
+    let alone = world.engine(old).unwrap().status();
     assert!(!alone.leading, "it has given up within half of the grace");
     assert!(!alone.ready, "users are served elsewhere");
     world.cancel("run-2");
@@ -489,7 +491,7 @@
     world.faults.store_refuses.insert(follower);
     world.faults.no_peers.insert(follower);
     world.run(20_000);
-    assert!(!world.engine(follower).unwrap().view().ready);
+    assert!(!world.engine(follower).unwrap().status().ready);
     assert_eq!((world.running("run-1"), world.starts), (4, 8));
 }
 
@@ -649,9 +651,9 @@
     let mut world = World::new(3, 8.0);
     world.faults.cloud_down = true;
     world.run(5_000);
-    assert!((0..3).all(|n| !world.engine(n).unwrap().view().ready));
+    assert!((0..3).all(|n| !world.engine(n).unwrap().status().ready));
     world.run(10_000);
-    assert!((0..3).all(|n| world.engine(n).unwrap().view().ready));
+    assert!((0..3).all(|n| world.engine(n).unwrap().status().ready));
     world.faults.cloud_down = false;
     world.run(5_000);
     world.submit(quick("run-1", JobKind::Array, 1));
--- a/src/engine/tests/replay/mirror.rs
+++ b/src/engine/tests/replay/mirror.rs
@@ -4,11 +4,13 @@
 use super::script::Body;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
 use crate::engine::{Command, Effect, Engine, EngineStatus, Reply};
+use crate::model::UnixTime;
 use crate::peer::Announcement;
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::{decode, encode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
+use std::time::Duration;
 
 fn body(message: &impl Serialize) -> Body {
     Body::new(encode(message))
@@ -25,8 +27,12 @@
 /// Lets the engine take a step of the script.
 pub fn step(engine: &mut Engine, step: &script::Step) -> script::Outcome {
     let commands: Vec<Command> = step.commands.iter().map(command_of).collect();
-    let effects = engine.step(step.now, step.unix_time, commands);
-    outcome(&effects, &engine.view())
+    let effects = engine.step(
+        Duration::from_millis(step.now),
+        UnixTime::from_millis(step.unix_time),
+        commands,
+    );
+    outcome(&effects, &engine.status())
 }
 
 /// What a step has produced.
--- a/src/engine/tests/requirements.rs
+++ b/src/engine/tests/requirements.rs
@@ -43,10 +43,10 @@
             assert!(world.run_until(20_000, |w| known_to_leader(w, "run-2").is_some()));
         }
         let job = known_to_leader(&world, "run-2").unwrap();
-        assert_eq!(job.submitted_at, submitted);
-        assert_eq!(job.deadline(), submitted + 900_000);
+        assert_eq!(job.submitted_at.as_millis(), submitted);
+        assert_eq!(job.deadline().as_millis(), submitted + 900_000);
         let told_of_the_end = ended - 1_000..ended + 2_000;
-        let ready = job.ready_at;
+        let ready = job.ready_at.as_millis();
         assert!(
             told_of_the_end.contains(&ready),
             "ready at {ready}, ended at {ended}"
@@ -66,7 +66,7 @@
     world.submit(quick("run-3", JobKind::Array, 3));
     assert!(world.run_until(10_000, |w| known_to_leader(w, "run-3").is_some()));
     let leader = world.leader().unwrap();
-    let within_guarantee = world.engine(leader).unwrap().within_guarantee();
+    let within_guarantee = world.engine(leader).unwrap().jobs_within_guarantee();
     let within_guarantee: Vec<&str> = within_guarantee.iter().map(|id| &*id.0).collect();
     assert_eq!(within_guarantee, ["run-1", "run-3"]);
 }
--- a/src/engine/tests/stored.rs
+++ b/src/engine/tests/stored.rs
@@ -3,7 +3,7 @@
 
 use super::world::{NO_LIMIT, World};
 use super::{ends_well, quick};
-use crate::engine::records::{self, RoundRecord};
+use crate::engine::records::{self, RoundRecord, StartRecord};
 use crate::model::TaskSet;
 use crate::wire::user::{JobKind, JobState};
 use rmpv::Value;
@@ -184,11 +184,10 @@
 /// The round's starts: machine and task.
 fn starts_of_round() -> Vec<(String, u32)> {
     let parts = [stored!("round"), stored!("round1"), stored!("round2")];
-    let records = parts.map(|part| records::read::<RoundRecord>(part).unwrap());
+    let records = parts.map(|part| records::from_value::<RoundRecord>(part).unwrap());
     let starts = records.into_iter().flat_map(|record| record.starts);
-    let on_machine = |(_, machine, tasks): (String, String, Vec<u32>)| {
-        tasks.into_iter().map(move |t| (machine.clone(), t))
-    };
+    let on_machine =
+        |StartRecord { machine, tasks, .. }| tasks.into_iter().map(move |t| (machine.clone(), t));
     starts.flat_map(on_machine).collect()
 }
 
--- a/src/engine/tests/world/mod.rs
+++ b/src/engine/tests/world/mod.rs
@@ -14,7 +14,7 @@
 use crate::constants;
 use crate::engine::records::{self, FinalRecord, JobRecord};
 use crate::engine::{Command, Effect, Engine, Reply, ReplyId};
-use crate::model::Ms;
+use crate::model::UnixTime;
 use crate::peer::Announcement;
 use crate::settings::{Settings, tests::SAMPLE};
 use crate::store::{StoreCall, StoreError, StoreReply};
@@ -28,6 +28,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// Milliseconds of the simulation.
+pub type Ms = u64;
+
 const LATENCY: Ms = 5;
 const CLOUD_LATENCY: Ms = 80;
 const BOOT: Ms = 20_000;
@@ -267,8 +270,8 @@
 
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
-            .filter(|n| self.engine(*n).is_some_and(|e| e.view().leading))
-            .max_by_key(|n| self.engine(*n).map(|e| e.view().term))
+            .filter(|n| self.engine(*n).is_some_and(|e| e.status().leading))
+            .max_by_key(|n| self.engine(*n).map(|e| e.status().term))
     }
 
     pub fn engine(&self, node: usize) -> Option<&Engine> {
@@ -296,7 +299,7 @@
 
     /// Any node's acceptance of a job.
     pub fn submit(&mut self, job: JobSubmission) {
-        let record = JobRecord::new(job.clone(), self.now);
+        let record = JobRecord::new(job.clone(), UnixTime::from_millis(self.now));
         self.put(&records::job_key(&job.id), records::job_value(&record));
         self.jobs.insert(job.id.clone(), job);
     }
@@ -498,7 +501,7 @@
 
     pub fn term(&self) -> u64 {
         let leader = self.leader().and_then(|n| self.engine(n));
-        leader.map_or(0, |e| e.view().term)
+        leader.map_or(0, |e| e.status().term)
     }
 
     /// Puts a task on a machine that no leader ordered there.
@@ -572,7 +575,7 @@
                 }
             }
             Ev::Announce(from) => {
-                let Some(view) = self.engine(from).map(Engine::view) else {
+                let Some(view) = self.engine(from).map(Engine::status) else {
                     return;
                 };
                 for to in 0..self.nodes.len() {
@@ -669,10 +672,14 @@
         let recorder = self.recorder.as_mut();
         let recording = recorder.map(|r| (r, Input::new(now - started, now, &batch)));
         let begun = std::time::Instant::now();
-        let effects = engine.step(now - started, now, batch);
+        let effects = engine.step(
+            std::time::Duration::from_millis(now - started),
+            UnixTime::from_millis(now),
+            batch,
+        );
         let took = begun.elapsed();
         if let Some((recorder, input)) = recording {
-            recorder.record(node, input, &effects, &engine.view());
+            recorder.record(node, input, &effects, &engine.status());
         }
         self.spent += took;
         let longest = self.longest.entry(kind).or_default();
--- a/src/engine/tests/world/state_service.rs
+++ b/src/engine/tests/world/state_service.rs
@@ -26,11 +26,12 @@
 impl World {
     pub(super) fn serve_store(&mut self, node: usize, epoch: u64, call_id: u64, call: &StoreCall) {
         let refused = self.faults.store_down || self.faults.store_refuses.contains(&node);
-        let records = |prefix: &str| prefix == records::WORK || prefix == records::ROUNDS;
+        let records =
+            |prefix: &str| prefix == records::PROGRESS_PREFIX || prefix == records::ROUND_PREFIX;
         let unlisted = matches!(call, StoreCall::List { prefix, .. } if records(prefix));
         let refused = refused || (unlisted && self.faults.no_records);
         if let StoreCall::Commit(txn) = call {
-            let fenced = txn.comparisons.iter().any(|c| c.key == records::LEAD);
+            let fenced = txn.comparisons.iter().any(|c| c.key == records::LEADER_KEY);
             assert!(fenced, "no condition on the leader's key: {txn:?}");
         }
         if let StoreCall::Commit(txn) = call
@@ -216,9 +217,11 @@
             let ws::Mutation::Put { key, value, .. } = write else {
                 continue;
             };
-            let round = key.starts_with(records::ROUNDS);
-            let round = round.then(|| records::read::<records::RoundRecord>(value.clone()));
-            for (id, ..) in round.flatten().into_iter().flat_map(|round| round.starts) {
+            let round = key.starts_with(records::ROUND_PREFIX);
+            let round = round.then(|| records::from_value::<records::RoundRecord>(value.clone()));
+            for records::StartRecord { job: id, .. } in
+                round.flatten().into_iter().flat_map(|round| round.starts)
+            {
                 if self.cancelled.contains_key(&id) {
                     let now = self.now;
                     self.broken
--- a/src/model/dependencies.rs
+++ b/src/model/dependencies.rs
@@ -1,80 +1,120 @@
-//! Jobs that wait for others: which may start, and which are cancelled with one that they need.
-//! Pure: a function of the waiting jobs and of what is known of those that they name.
+//! Dependencies between jobs (a DAG): which blocked jobs may start, and which are cancelled with a
+//! job that they depend on.
+//!
+//! Pure: a function of the blocked jobs and of what is known of the jobs that they depend on.
 
 use super::{InheritedUrgency, JobId};
 use std::collections::BTreeMap;
 
-/// How a waiting job stands.
+/// State of a blocked job's dependencies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DependencyState {
-    /// Something that it needs is not done yet.
+    /// A dependency is not done yet.
     Waiting,
-    /// All that it needs is done.
+    /// All dependencies are done.
     Satisfied,
-    /// Something that it needs, directly or through others, is cancelled, and so is it.
+    /// A dependency, direct or through others, is cancelled, and the job with it.
     Cancelled,
-    /// It can't be told: of something that it needs nothing is known.
+    /// Nothing is known of a dependency.
     Unknown,
 }
 
-/// What is known of a job that does not wait itself.
+/// State of a job that others depend on and that is not blocked itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamState {
+    /// Runs or waits for resources.
     Open,
+    /// All tasks have completed, durably.
     Done,
+    /// Cancelled, durably.
     Cancelled,
+    /// Nothing is known of it.
     Unknown,
 }
 
-/// The waiting jobs with what each awaits.
+/// The blocked jobs with their dependencies.
 pub type DependencyGraph<'a> = BTreeMap<&'a JobId, &'a [JobId]>;
 
-/// The waiting jobs in an order in which each comes after those that it awaits, with how it stands.
-/// Jobs that wait for each other in a circle, which no submission can make, are left out.
+/// The blocked jobs in topological order (each after those that it depends on), each with the
+/// state of its dependencies. Jobs in a cycle, which no submission can make, are left out.
+/// `upstream` tells the state of jobs that are not blocked.
 pub fn evaluate<'a>(
-    waiting: &DependencyGraph<'a>,
-    known: impl Fn(&JobId) -> UpstreamState,
+    graph: &DependencyGraph<'a>,
+    upstream: impl Fn(&JobId) -> UpstreamState,
 ) -> Vec<(&'a JobId, DependencyState)> {
-    let mut missing: BTreeMap<&JobId, usize> = BTreeMap::new();
-    let mut needed_by: BTreeMap<&JobId, Vec<&'a JobId>> = BTreeMap::new();
-    let mut next = Vec::new();
-    for (id, awaits) in waiting {
-        let steps = awaits.iter().filter(|a| waiting.contains_key(a));
-        let count = steps.map(|a| needed_by.entry(a).or_default().push(id));
-        match count.count() {
-            0 => next.push(*id),
-            count => {
-                missing.insert(id, count);
-            }
-        }
-    }
+    let mut remaining = RemainingDependencies::new(graph);
     let mut order = Vec::new();
     let mut states: BTreeMap<&JobId, DependencyState> = BTreeMap::new();
-    while let Some(id) = next.pop() {
-        let awaited = waiting[id].iter().map(|a| match states.get(a) {
-            Some(DependencyState::Cancelled) => UpstreamState::Cancelled,
-            Some(DependencyState::Unknown) => UpstreamState::Unknown,
-            Some(_) => UpstreamState::Open,
-            None => known(a),
-        });
-        let state = awaited.fold(DependencyState::Satisfied, after);
+    while let Some(id) = remaining.next_job() {
+        let dependencies = graph[id]
+            .iter()
+            .map(|dependency| match states.get(dependency) {
+                Some(DependencyState::Cancelled) => UpstreamState::Cancelled,
+                Some(DependencyState::Unknown) => UpstreamState::Unknown,
+                Some(_) => UpstreamState::Open,
+                None => upstream(dependency),
+            });
+        let state = dependencies.fold(DependencyState::Satisfied, combine);
         states.insert(id, state);
         order.push((id, state));
-        for later in needed_by.remove(id).into_iter().flatten() {
-            if let Some(count) = missing.get_mut(later) {
+        remaining.release_dependents(id);
+    }
+    order
+}
+
+/// Bookkeeping of a topological sort.
+struct RemainingDependencies<'a> {
+    /// Number of blocked dependencies that have not been visited, of each job that has any.
+    counts: BTreeMap<&'a JobId, usize>,
+    /// Blocked jobs by the blocked jobs that they depend on.
+    dependents: BTreeMap<&'a JobId, Vec<&'a JobId>>,
+    /// Jobs whose dependencies have all been visited.
+    next: Vec<&'a JobId>,
+}
+
+impl<'a> RemainingDependencies<'a> {
+    fn new(graph: &DependencyGraph<'a>) -> Self {
+        let mut remaining = RemainingDependencies {
+            counts: BTreeMap::new(),
+            dependents: BTreeMap::new(),
+            next: Vec::new(),
+        };
+        for (id, dependencies) in graph {
+            let blocked = dependencies.iter().filter(|id| graph.contains_key(id));
+            let mut count = 0;
+            for dependency in blocked {
+                remaining.dependents.entry(dependency).or_default().push(id);
+                count += 1;
+            }
+            if count == 0 {
+                remaining.next.push(id);
+            } else {
+                remaining.counts.insert(id, count);
+            }
+        }
+        remaining
+    }
+
+    fn next_job(&mut self) -> Option<&'a JobId> {
+        self.next.pop()
+    }
+
+    /// The job has been visited: those that waited for it alone come next.
+    fn release_dependents(&mut self, id: &JobId) {
+        for dependent in self.dependents.remove(id).into_iter().flatten() {
+            if let Some(count) = self.counts.get_mut(dependent) {
                 *count -= 1;
                 if *count == 0 {
-                    next.push(later);
+                    self.next.push(dependent);
                 }
             }
         }
     }
-    order
 }
 
-/// How a job stands that stood so before one more that it awaits was looked at.
-fn after(state: DependencyState, awaited: UpstreamState) -> DependencyState {
-    match (state, awaited) {
+/// The state of a job's dependencies once one more of them is taken into account.
+fn combine(state: DependencyState, dependency: UpstreamState) -> DependencyState {
+    match (state, dependency) {
         (DependencyState::Cancelled, _) | (_, UpstreamState::Cancelled) => {
             DependencyState::Cancelled
         }
@@ -84,7 +124,7 @@
     }
 }
 
-/// The urgency that each job inherits from the waiting jobs that depend on it, directly or through
+/// The urgency that each job inherits from the blocked jobs that depend on it, directly or through
 /// others. `order` is that of [`evaluate`].
 pub fn inherit_urgency(
     graph: &DependencyGraph<'_>,
@@ -100,11 +140,11 @@
         let passed_on = inherited
             .get(*id)
             .map_or(own, |from| own.most_urgent(*from));
-        for upstream in graph[*id] {
+        for dependency in graph[*id] {
             let urgency = inherited
-                .get(upstream)
+                .get(dependency)
                 .map_or(passed_on, |from| passed_on.most_urgent(*from));
-            inherited.insert(upstream.clone(), urgency);
+            inherited.insert(dependency.clone(), urgency);
         }
     }
     inherited
--- a/src/model/dependencies/tests.rs
+++ b/src/model/dependencies/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::model::UnixTime;
 use crate::wire::user::Priority;
 
 fn id(n: usize) -> JobId {
@@ -72,11 +73,11 @@
     let order = evaluate(&graph, |_| UpstreamState::Open);
     let urgent = InheritedUrgency {
         priority: Priority::High,
-        deadline: 1_000,
+        deadline: UnixTime::from_millis(1_000),
     };
     let relaxed = InheritedUrgency {
         priority: Priority::Low,
-        deadline: 2_000,
+        deadline: UnixTime::from_millis(2_000),
     };
     let own = |job: &JobId| Some(if *job == id(100) { urgent } else { relaxed });
     let inherited = inherit_urgency(&graph, &order, own);
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -1,11 +1,12 @@
 //! A job, its tasks, and where they are.
 
-use super::{HeartbeatSequence, MachineId, Ms, Resources, TaskSet};
-use crate::constants::{NO_DEADLINE_MS, STARVATION_AFTER_MS, STARVATION_MAX_FAILURES};
+use super::{HeartbeatSequence, MachineId, Resources, TaskSet, Timestamp, UnixTime};
+use crate::constants::{DEFAULT_DEADLINE, STARVATION_AFTER, STARVATION_MAX_FAILURES};
 use crate::wire::user::{self, JobKind, JobSubmission, Priority};
 use crate::wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use std::time::Duration;
 
 /// What a job asks for: its submission in the units of the scheduler.
 #[derive(Debug, Clone, PartialEq)]
@@ -36,16 +37,21 @@
     pub spread_zones: bool,
     /// Whether the tasks may use spot instances.
     pub allows_spot: bool,
-    /// The owner's estimate of a task's run time, ms.
-    pub expected_duration_ms: u64,
-    /// Time from the submission to the deadline, ms, if there is one.
-    pub deadline_ms: Option<u64>,
-    /// Progress between two checkpoints, ms; 0 without checkpoints.
-    pub checkpoint_interval_ms: u64,
+    /// The owner's estimate of a task's run time.
+    pub expected_duration: Duration,
+    /// Time from the submission to the deadline, if there is one.
+    pub deadline: Option<Duration>,
+    /// Progress between two checkpoints; zero without checkpoints.
+    pub checkpoint_interval: Duration,
     /// Time that writing a checkpoint takes, s.
     pub checkpoint_cost_s: f64,
 }
 
+/// Seconds of a submission as whole milliseconds.
+fn whole_millis_of(seconds: f64) -> Duration {
+    Duration::from_millis((seconds * 1000.0) as u64)
+}
+
 impl From<&JobSubmission> for JobSpec {
     fn from(job: &JobSubmission) -> Self {
         let machine_types = job.machine_types.as_ref();
@@ -64,9 +70,9 @@
             single_zone: job.single_zone,
             spread_zones: job.spread_zones,
             allows_spot: job.allows_spot,
-            expected_duration_ms: (job.expected_duration_s * 1000.0) as u64,
-            deadline_ms: job.deadline_s.map(|seconds| (seconds * 1000.0) as u64),
-            checkpoint_interval_ms: (job.checkpoint_interval_s * 1000.0) as u64,
+            expected_duration: whole_millis_of(job.expected_duration_s),
+            deadline: job.deadline_s.map(whole_millis_of),
+            checkpoint_interval: whole_millis_of(job.checkpoint_interval_s),
             checkpoint_cost_s: job.checkpoint_cost_s,
         }
     }
@@ -95,15 +101,15 @@
         }
     }
 
-    /// The deadline of a job that was submitted then; both as unix time, ms. A job without one
-    /// stands behind all that are due within an hour.
-    pub fn deadline(&self, submitted_at: u64) -> u64 {
-        submitted_at.saturating_add(self.deadline_ms.unwrap_or(NO_DEADLINE_MS))
+    /// The deadline of a job that was submitted then. A job without one stands behind all that are
+    /// due within [`DEFAULT_DEADLINE`].
+    pub fn deadline_at(&self, submitted_at: UnixTime) -> UnixTime {
+        submitted_at.saturating_add(self.deadline.unwrap_or(DEFAULT_DEADLINE))
     }
 
     /// Grace for a stop, s: enough to write a checkpoint.
     pub fn checkpoint_grace_s(&self) -> u64 {
-        if self.checkpoint_interval_ms == 0 {
+        if self.checkpoint_interval.is_zero() {
             0
         } else {
             self.checkpoint_cost_s.ceil() as u64 + 1
@@ -147,7 +153,7 @@
     /// Seconds in which the task may write a checkpoint.
     pub grace_s: u64,
     /// When the task was first told to stop.
-    pub requested_at: Ms,
+    pub requested_at: Timestamp,
 }
 
 /// A task that is, or may be, on a machine. It counts for every rule until it surely is not.
@@ -161,7 +167,7 @@
     pub stage: PlacementStage,
     /// When the round was planned, when it became durable, or when a heartbeat first named the
     /// task, whichever came last.
-    pub stage_since: Ms,
+    pub stage_since: Timestamp,
     /// Set while the task is being stopped.
     pub stop_request: Option<StopRequest>,
 }
@@ -172,8 +178,8 @@
 pub struct InheritedUrgency {
     /// Highest priority.
     pub priority: Priority,
-    /// Earliest deadline, unix time, ms.
-    pub deadline: u64,
+    /// Earliest deadline.
+    pub deadline: UnixTime,
 }
 
 impl InheritedUrgency {
@@ -195,11 +201,10 @@
     pub version: u64,
     /// Where it stands.
     pub phase: JobPhase,
-    /// Unix time of its submission, ms; orders jobs in the same way on all nodes.
-    pub submitted_at: u64,
-    /// Unix time from which it could run, ms: when it was submitted, or when its last dependency
-    /// was done.
-    pub ready_at: u64,
+    /// When it was submitted; orders jobs in the same way on all nodes.
+    pub submitted_at: UnixTime,
+    /// When it could first run: when it was submitted, or when its last dependency was done.
+    pub ready_at: UnixTime,
     /// Urgency of the jobs that depend on it.
     pub inherited: Option<InheritedUrgency>,
     /// Tasks that have completed.
@@ -215,11 +220,11 @@
     /// Task failures in a row.
     pub consecutive_failures: u32,
     /// No task starts before.
-    pub backoff_until: Ms,
+    pub backoff_until: Timestamp,
     /// Machines on which its tasks failed since one last completed.
     pub failed_on: BTreeSet<MachineId>,
     /// When this node first knew of it.
-    pub first_seen_at: Ms,
+    pub first_seen_at: Timestamp,
 }
 
 impl Job {
@@ -227,9 +232,9 @@
     pub fn new(
         spec: JobSpec,
         version: u64,
-        submitted_at: u64,
+        submitted_at: UnixTime,
         phase: JobPhase,
-        first_seen_at: Ms,
+        first_seen_at: Timestamp,
     ) -> Self {
         let pending = TaskSet::full(spec.tasks);
         Job {
@@ -245,7 +250,7 @@
             pending,
             placements: BTreeMap::new(),
             consecutive_failures: 0,
-            backoff_until: 0,
+            backoff_until: Timestamp::default(),
             failed_on: BTreeSet::new(),
             first_seen_at,
         }
@@ -267,9 +272,9 @@
         };
     }
 
-    /// Its deadline as unix time, ms: its own, or an earlier one of a job that depends on it.
-    pub fn deadline(&self) -> u64 {
-        let own = self.spec.deadline(self.submitted_at);
+    /// Its deadline: its own, or an earlier one of a job that depends on it.
+    pub fn deadline(&self) -> UnixTime {
+        let own = self.spec.deadline_at(self.submitted_at);
         self.inherited
             .map_or(own, |inherited| own.min(inherited.deadline))
     }
@@ -281,13 +286,13 @@
             .map_or(own, |inherited| own.max(inherited.priority))
     }
 
-    /// Whether nothing of it has run or runs although it could have long before `unix_ms`. One
+    /// Whether nothing of it has run or runs although it could have long before `now`. One
     /// that keeps failing waits for a reason of its own.
-    pub fn is_starving(&self, unix_ms: u64) -> bool {
+    pub fn is_starving(&self, now: UnixTime) -> bool {
         self.placements.is_empty()
             && self.completed.is_empty()
             && self.consecutive_failures < STARVATION_MAX_FAILURES
-            && unix_ms.saturating_sub(self.ready_at) > STARVATION_AFTER_MS
+            && now.saturating_since(self.ready_at) > STARVATION_AFTER
     }
 
     /// Whether it runs or waits.
@@ -342,7 +347,7 @@
     }
 
     /// Asks all placed tasks to stop; an earlier request with a shorter grace stands.
-    pub fn stop_all_tasks(&mut self, grace_s: u64, now: Ms) {
+    pub fn stop_all_tasks(&mut self, grace_s: u64, now: Timestamp) {
         for placement in self.placements.values_mut() {
             placement.request_stop(grace_s, now);
         }
@@ -364,7 +369,7 @@
 
 impl Placement {
     /// Asks the task to stop; an earlier request with a shorter grace stands.
-    pub fn request_stop(&mut self, grace_s: u64, now: Ms) {
+    pub fn request_stop(&mut self, grace_s: u64, now: Timestamp) {
         match &mut self.stop_request {
             Some(stop) => stop.grace_s = stop.grace_s.min(grace_s),
             None => {
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,27 +1,30 @@
 //! What the scheduler knows: jobs, teams' use, machines and rounds. Pure data: no I/O and no
-//! clock is read here; times come in as [`Ms`].
+//! clock is read here; times come in as [`Timestamp`] and [`UnixTime`].
 
 pub mod dependencies;
 mod job;
 mod machine;
 mod task_set;
+mod time;
 
 pub use job::{InheritedUrgency, Job, JobPhase, JobSpec, Placement, PlacementStage, StopRequest};
 pub use machine::{FencingToken, HeartbeatSequence, Machine, MachinePhase};
 pub use task_set::TaskSet;
+pub use time::{Timestamp, UnixTime, whole_millis};
 
 use std::collections::BTreeMap;
 use std::ops::{Add, AddAssign, Sub};
 use std::sync::Arc;
-
-/// Milliseconds of this process's steady clock.
-pub type Ms = u64;
+use std::time::Duration;
 
 macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub struct $name(pub Arc<str>);
+        pub struct $name(
+            /// The text of the name.
+            pub Arc<str>,
+        );
 
         impl From<&str> for $name {
             fn from(text: &str) -> Self {
@@ -46,14 +49,17 @@
     MachineId
 );
 
-/// One task: its job and its number.
+/// Names one task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
+    /// Parses `<job>/<index>`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId {
@@ -69,19 +75,22 @@
     }
 }
 
-/// Amounts in thousandths, so that capacity is compared in whole numbers.
+/// Amounts in thousandths, so that capacities are compared in whole numbers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Resources {
+    /// Thousandths of a CPU core.
     pub cpus: u64,
+    /// Thousandths of a GPU.
     pub gpus: u64,
+    /// Thousandths of a GB of memory.
     pub memory: u64,
 }
 
-/// Room for the inexactness of decimal numbers in binary, in thousandths.
+/// Tolerance for decimal numbers that binary ones represent inexactly, in thousandths.
 const ROUNDING: f64 = 1e-6;
 
 impl Resources {
-    /// What a task needs: rounded up.
+    /// What a task requests: rounded up.
     pub fn demand(cpus: f64, gpus: f64, memory: f64) -> Self {
         let up = |x: f64| (x * 1000.0 - ROUNDING).ceil().max(0.0) as u64;
         Resources {
@@ -101,19 +110,23 @@
         }
     }
 
-    pub fn fits_in(self, room: Resources) -> bool {
-        self.cpus <= room.cpus && self.gpus <= room.gpus && self.memory <= room.memory
+    /// Whether no amount exceeds that of `available`.
+    pub fn fits_in(self, available: Resources) -> bool {
+        self.cpus <= available.cpus
+            && self.gpus <= available.gpus
+            && self.memory <= available.memory
     }
 
-    pub fn times(self, n: u64) -> Self {
+    /// Each amount so many times.
+    pub fn times(self, count: u64) -> Self {
         Resources {
-            cpus: self.cpus.saturating_mul(n),
-            gpus: self.gpus.saturating_mul(n),
-            memory: self.memory.saturating_mul(n),
+            cpus: self.cpus.saturating_mul(count),
+            gpus: self.gpus.saturating_mul(count),
+            memory: self.memory.saturating_mul(count),
         }
     }
 
-    /// How many times `need` fits in; of nothing, as often as anyone asks.
+    /// How many times `request` fits in; a request for nothing fits any number of times.
     pub fn max_multiple(self, request: Resources) -> u32 {
         let times = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
         let least = times(self.cpus, request.cpus)
@@ -122,7 +135,7 @@
         least.min(u64::from(u32::MAX)) as u32
     }
 
-    /// The least of both in each amount.
+    /// The smaller of both in each amount.
     pub fn component_min(self, other: Resources) -> Self {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -131,7 +144,7 @@
         }
     }
 
-    /// How full `self` makes something of size `whole`, in thousandths of its scarcest amount.
+    /// The share of `whole` that this is, in thousandths, by the amount with the largest share.
     pub fn permille_of(self, whole: Resources) -> u64 {
         let part = |a: u64, b: u64| a.saturating_mul(1000).checked_div(b).unwrap_or(0);
         part(self.cpus, whole.cpus)
@@ -142,42 +155,50 @@
 
 impl Add for Resources {
     type Output = Resources;
-    fn add(self, o: Resources) -> Resources {
+    fn add(self, other: Resources) -> Resources {
         Resources {
-            cpus: self.cpus.saturating_add(o.cpus),
-            gpus: self.gpus.saturating_add(o.gpus),
-            memory: self.memory.saturating_add(o.memory),
+            cpus: self.cpus.saturating_add(other.cpus),
+            gpus: self.gpus.saturating_add(other.gpus),
+            memory: self.memory.saturating_add(other.memory),
         }
     }
 }
 
 impl AddAssign for Resources {
-    fn add_assign(&mut self, o: Resources) {
-        *self = *self + o;
+    fn add_assign(&mut self, other: Resources) {
+        *self = *self + other;
     }
 }
 
 impl Sub for Resources {
     type Output = Resources;
-    fn sub(self, o: Resources) -> Resources {
+    fn sub(self, other: Resources) -> Resources {
         Resources {
-            cpus: self.cpus.saturating_sub(o.cpus),
-            gpus: self.gpus.saturating_sub(o.gpus),
-            memory: self.memory.saturating_sub(o.memory),
+            cpus: self.cpus.saturating_sub(other.cpus),
+            gpus: self.gpus.saturating_sub(other.gpus),
+            memory: self.memory.saturating_sub(other.memory),
         }
     }
 }
 
-/// A machine type with its amounts in whole units.
+/// A machine type in the units of the scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
+    /// Name of the type.
     pub name: Arc<str>,
+    /// Resources of a machine.
     pub capacity: Resources,
+    /// Space for images, GB.
     pub cache_gb: f64,
+    /// Rate at which images are fetched, GB per second.
     pub fetch_gb_per_s: f64,
+    /// Price per hour.
     pub price: f64,
+    /// Current price per hour as a spot instance.
     pub spot_price: f64,
-    pub boot_ms: u64,
+    /// Nominal time to boot.
+    pub boot_time: Duration,
+    /// Zones that have the type.
     pub zones: Vec<Arc<str>>,
 }
 
@@ -190,7 +211,7 @@
             fetch_gb_per_s: wire.fetch_gb_per_s,
             price: wire.price,
             spot_price: wire.spot_price,
-            boot_ms: (wire.boot_s.max(0.0) * 1000.0) as u64,
+            boot_time: Duration::from_millis((wire.boot_s.max(0.0) * 1000.0) as u64),
             zones: wire.zones.iter().map(|z| z.as_str().into()).collect(),
         }
     }
@@ -199,9 +220,10 @@
 impl MachineType {
     /// GB of images that it fetches in the time in which one of its type boots.
     pub fn boot_gb(&self) -> f64 {
-        self.boot_ms as f64 / 1000.0 * self.fetch_gb_per_s
+        whole_millis(self.boot_time) as f64 / 1000.0 * self.fetch_gb_per_s
     }
 
+    /// Price per hour, of a spot instance or an ordinary machine.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
--- a/src/node.rs
+++ b/src/node.rs
@@ -5,6 +5,7 @@
 use crate::constants;
 use crate::engine::{Command, Effect, Engine, EngineStatus, Reply, ReplyId};
 use crate::http::HttpClient;
+use crate::model::UnixTime;
 use crate::peer::{Announcement, Link, Message, PeerError, read_frame, write_frame};
 use crate::settings::Settings;
 use crate::store::{CallPriority, StoreClient};
@@ -121,7 +122,10 @@
             view.clone(),
             commands.clone(),
         ));
-        let connections = Connections::new(settings.front_connections(), settings.timing().pause());
+        let connections = Connections::new(
+            settings.front_connections(),
+            settings.timing().max_connection_pause(),
+        );
         let api = Api::new(settings, store, commands, view, peers);
         let router = api.router(connections.clone());
         match api::serve(front, router, connections).await {}
@@ -159,11 +163,12 @@
                 }
                 commands.push(command);
             }
-            let now = started.elapsed().as_millis() as u64;
-            for effect in engine.step(now, unix_time_ms(), commands) {
+            let elapsed = started.elapsed();
+            let unix_time = UnixTime::from_millis(unix_time_ms());
+            for effect in engine.step(elapsed, unix_time, commands) {
                 self.carry_out(effect, &mut waiting);
             }
-            show.send_replace(engine.view());
+            show.send_replace(engine.status());
         }
     }
 
--- a/src/placement/preempt.rs
+++ b/src/placement/preempt.rs
@@ -4,8 +4,8 @@
 //! gives way, whatever its priority, to a job within another team's guarantee.
 
 use super::{Candidate, MachineSnapshot, allowed, zone_room};
-use crate::constants::MIN_RUN_BEFORE_PREEMPTION_MS;
-use crate::model::{Job, JobId, MachineId, Ms, Placement, Resources, TaskId};
+use crate::constants::MIN_RUN_BEFORE_PREEMPTION;
+use crate::model::{Job, JobId, MachineId, Placement, Resources, TaskId, Timestamp};
 use crate::wire::user::Priority;
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
 
 /// What stopping a task costs: first the priority of the work, then what it loses.
 fn loss(victim: &Victim<'_>) -> (Priority, bool, usize) {
-    let saves = victim.job.spec.checkpoint_interval_ms > 0;
+    let saves = !victim.job.spec.checkpoint_interval.is_zero();
     let with_it = if victim.job.is_gang() {
         victim.job.placements.len()
     } else {
@@ -104,14 +104,14 @@
 pub fn running<'a>(
     jobs: impl Iterator<Item = (&'a JobId, &'a Job)>,
     within_guarantee: impl Fn(&JobId) -> bool,
-    now: Ms,
+    now: Timestamp,
 ) -> Vec<Victim<'a>> {
     let mut victims = Vec::new();
     for (id, job) in jobs.filter(|(_, job)| job.is_open()) {
         let within_guarantee = within_guarantee(id);
         // A task that has just started has gained nothing yet and its start would not count.
         let settled = |p: &Placement| {
-            p.stop_request.is_none() && now >= p.stage_since + MIN_RUN_BEFORE_PREEMPTION_MS
+            p.stop_request.is_none() && now >= p.stage_since + MIN_RUN_BEFORE_PREEMPTION
         };
         for (index, placement) in job.placements.iter().filter(|(_, p)| settled(p)) {
             victims.push(Victim {
--- a/src/placement/preempt/tests.rs
+++ b/src/placement/preempt/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::model::UnixTime;
 use crate::model::{JobPhase, JobSpec, PlacementStage};
 use crate::wire::user::{JobKind, tests::job as wire_job};
 use crate::wire::worker::TaskState;
@@ -8,13 +9,19 @@
     wire.team = team.into();
     wire.priority = priority;
     wire.gpus = 2.0;
-    let mut job = Job::new(JobSpec::from(&wire), 1, 0, JobPhase::Open, 0);
+    let mut job = Job::new(
+        JobSpec::from(&wire),
+        1,
+        UnixTime::from_millis(0),
+        JobPhase::Open,
+        Timestamp::from_millis(0),
+    );
     for (index, machine) in (0..).zip(on) {
         let placement = Placement {
             machine: (*machine).into(),
             attempt: 1,
             stage: PlacementStage::Reported(TaskState::Running),
-            stage_since: 0,
+            stage_since: Timestamp::default(),
             stop_request: None,
         };
         job.placements.insert(index, placement);
@@ -36,7 +43,11 @@
     }
     let jobs = ids.iter().zip(theirs.iter().map(|(_, job, _)| *job));
     let within = |id: &JobId| theirs.iter().any(|(name, _, g)| *g && *name == &*id.0);
-    let running = running(jobs, within, MIN_RUN_BEFORE_PREEMPTION_MS);
+    let running = running(
+        jobs,
+        within,
+        Timestamp::default() + MIN_RUN_BEFORE_PREEMPTION,
+    );
     let id = JobId::from("run-0");
     let candidate = Candidate {
         id: &id,
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::model::JobPhase;
+use crate::model::{Timestamp, UnixTime};
 use crate::wire::user::tests::job as wire_job;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -24,7 +25,13 @@
 fn job(kind: JobKind, tasks: u64, change: impl Fn(&mut crate::wire::user::JobSubmission)) -> Job {
     let mut wire = wire_job("run-1", kind, tasks);
     change(&mut wire);
-    Job::new(JobSpec::from(&wire), 1, 0, JobPhase::Open, 0)
+    Job::new(
+        JobSpec::from(&wire),
+        1,
+        UnixTime::from_millis(0),
+        JobPhase::Open,
+        Timestamp::from_millis(0),
+    )
 }
 
 fn run(job: &Job, snapshots: &mut [MachineSnapshot], gpus_max: Option<u64>) -> RoundPlan {
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use std::time::Duration;
 
 pub const SAMPLE: &str = r#"
 node_name = "n0"
@@ -102,12 +103,14 @@
             gang_peer_s: 6.0,
             cancel_s: cancel,
         });
-        let slow = |ms: u64| ms + ms / 2000;
-        assert!(slow(t.leader_grace) + slow(t.worker_lease) + 500 < (cancel * 1000.0) as u64);
+        let slow = |duration: Duration| duration + duration / 2000;
+        assert!(
+            slow(t.leader_grace) + slow(t.worker_lease) + Duration::from_millis(500)
+                < Duration::from_secs_f64(cancel)
+        );
         // Renewals and watches come at least this often while all is well.
         assert!(
-            t.leader_grace
-                > 2 * constants::LEASE_RENEWAL_INTERVAL_MS.max(constants::WATCH_TIMEOUT_MS)
+            t.leader_grace > 2 * constants::LEASE_RENEWAL_INTERVAL.max(constants::WATCH_TIMEOUT)
         );
     }
 }
