--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -197,8 +197,14 @@
             }
         };
         let Some(fit) = fit else { continue };
-        for (at, _) in fit.places.iter().filter(|(at, _)| *at < known) {
-            wanted.keep.insert(snapshots[*at].id.clone());
+        for place in fit
+            .places
+            .iter()
+            .filter(|place| place.machine_index < known)
+        {
+            wanted
+                .keep
+                .insert(snapshots[place.machine_index].id.clone());
         }
         fit.take(one, &mut snapshots);
     }
@@ -239,12 +245,16 @@
         only: Option<&Arc<str>>,
     ) -> TrialPlacement {
         let spec = &one.job.spec;
-        let places = placement::places(spec, &one.zones, snapshots, one.tasks, only);
+        let places = placement::assign_tasks(spec, &one.zones, snapshots, one.tasks, only);
         let mut zones = one.zones.clone();
-        for (at, count) in &places {
-            *zones.entry(snapshots[*at].zone.clone()).or_insert(0) += count;
+        for place in &places {
+            placement::add_tasks(
+                &mut zones,
+                &snapshots[place.machine_index].zone,
+                place.tasks,
+            );
         }
-        let mut left = one.tasks - placement::tasks_of(&places);
+        let mut left = one.tasks - placement::assigned_tasks(&places);
         let mut new = Vec::new();
         while left > 0
             && let Some(snapshot) = cheapest(one, &zones, types, offers, only)
@@ -259,7 +269,7 @@
 
     fn tasks(&self) -> u32 {
         let new: u32 = self.new.iter().map(|(_, count)| count).sum();
-        placement::tasks_of(&self.places) + new
+        placement::assigned_tasks(&self.places) + new
     }
 
     /// What the new machines cost an hour.
@@ -274,8 +284,8 @@
     }
 
     fn take(self, one: &WaitingJob<'_>, snapshots: &mut Vec<MachineSnapshot>) {
-        for (at, count) in self.places {
-            snapshots[at].allocate(&one.job.spec, count);
+        for place in self.places {
+            snapshots[place.machine_index].allocate(&one.job.spec, place.tasks);
         }
         for (mut snapshot, count) in self.new {
             snapshot.allocate(&one.job.spec, count);
@@ -300,8 +310,8 @@
         .iter()
         .filter(|o| {
             only.is_none_or(|zone| o.zone == *zone)
-                && placement::allowed(spec, &o.machine_type, &o.zone, o.spot)
-                && placement::zone_room(spec, zones, &o.zone) > 0
+                && placement::is_eligible(spec, &o.machine_type, &o.zone, o.spot)
+                && placement::zone_headroom(spec, zones, &o.zone) > 0
         })
         .filter_map(|o| {
             let t = types.get(&o.machine_type)?;
--- a/src/engine/autoscaling/consolidation.rs
+++ b/src/engine/autoscaling/consolidation.rs
@@ -52,7 +52,10 @@
             .filter(|machine| !leader.autoscaling.reserved.contains(&machine.id))
             .filter_map(|machine| self.as_drainable(machine))
             .collect();
-        consolidation::choose(&candidates, &leader.machines.ready(Resources::default()))
+        consolidation::choose_machine_to_drain(
+            &candidates,
+            &leader.machines.ready(Resources::default()),
+        )
     }
 
     /// The machine with its replicas, if it holds nothing else and all of them have run for a while.
--- a/src/engine/autoscaling/preemption.rs
+++ b/src/engine/autoscaling/preemption.rs
@@ -5,7 +5,7 @@
 use crate::constants;
 use crate::engine::Engine;
 use crate::model::{JobId, Machine, Resources, TaskId};
-use crate::placement::{Candidate, MachineSnapshot, preempt};
+use crate::placement::{Candidate, MachineSnapshot, preemption};
 
 /// Tasks to be stopped for one job.
 pub(super) struct Preemption {
@@ -39,7 +39,11 @@
         let any_room = Resources::default();
         let mut expected = leader.machines.with_room(any_room, |m| self.is_expected(m));
         let mut up: Option<Vec<MachineSnapshot>> = None;
-        let running = preempt::running(self.jobs.iter(), |id| within_guarantee.contains(id), now);
+        let running = preemption::preemptible_tasks(
+            self.jobs.iter(),
+            |id| within_guarantee.contains(id),
+            now,
+        );
         for unplaced in &leader.autoscaling.demand {
             let Some(candidate) = candidates.iter().find(|c| *c.id == unplaced.job) else {
                 continue;
@@ -56,7 +60,7 @@
             let gang = candidate.job.is_gang();
             let tasks = if gang { unplaced.tasks } else { 1 };
             let job = candidate.id.clone();
-            let victims = preempt::victims(candidate, tasks, up, &running);
+            let victims = preemption::choose_victims(candidate, tasks, up, &running);
             if !victims.is_empty() {
                 plan.preemption = Some(Preemption { job, victims });
                 return plan;
--- a/src/engine/machines.rs
+++ b/src/engine/machines.rs
@@ -10,7 +10,7 @@
 use super::Engine;
 use crate::constants;
 use crate::model::{Machine, MachineId, MachineTypes, Ms, PlacementStage, Resources, TaskId};
-use crate::placement::MachineSnapshot;
+use crate::placement::{MachineSnapshot, PendingFetch};
 use crate::wire::user::JobKind;
 use crate::wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -259,11 +259,14 @@
 }
 
 /// GB of each image that are left to fetch, if all share the machine's rate.
-fn left_to_fetch(fetches: Vec<Fetch>, gb_per_s: f64, at: Ms) -> Vec<(Arc<str>, f64)> {
+fn left_to_fetch(fetches: Vec<Fetch>, gb_per_s: f64, at: Ms) -> Vec<PendingFetch> {
     let share = gb_per_s / fetches.len().max(1) as f64;
     let left = |fetch: Fetch| {
         let done = at.saturating_sub(fetch.begun) as f64 / 1000.0 * share;
-        (fetch.image, (fetch.gb - done).max(0.0))
+        PendingFetch {
+            image: fetch.image,
+            remaining_gb: (fetch.gb - done).max(0.0),
+        }
     };
     fetches.into_iter().map(left).collect()
 }
--- a/src/engine/rounds/mod.rs
+++ b/src/engine/rounds/mod.rs
@@ -9,7 +9,7 @@
 use super::Engine;
 use crate::constants;
 use crate::model::{JobId, MachineId, Ms, Resources};
-use crate::placement::{self, Bounds, Candidate, QuotaUsage, RoundPlan};
+use crate::placement::{self, Candidate, QuotaUsage, RoundLimits, RoundPlan};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use writing::Writing;
@@ -94,20 +94,20 @@
             return RoundPlan::default();
         }
         let bounds = self.round_bounds();
-        let mut snapshots = leader.machines.ready(placement::least_room(&candidates));
-        placement::plan(&candidates, &mut snapshots, &mut self.quotas(), bounds)
+        let mut snapshots = leader.machines.ready(placement::min_available(&candidates));
+        placement::plan_round(&candidates, &mut snapshots, &mut self.quotas(), bounds)
     }
 
     /// What a round may hold so that one transaction writes it.
-    fn round_bounds(&self) -> Bounds {
+    fn round_bounds(&self) -> RoundLimits {
         let changes = self.settings.cluster.state.txn_ops;
         let records = self.records_per_transaction();
         // Besides its jobs, a round's conditions name the leader's key and its own records.
         let conditions = 4 * changes;
-        Bounds {
+        RoundLimits {
             starts: records * self.starts_per_record(),
             jobs: conditions - 1 - records,
-            large_gang: self
+            allows_large_gang: self
                 .leader()
                 .is_some_and(|leader| !leader.rounds.is_writing_several()),
         }
@@ -129,12 +129,10 @@
     pub(super) fn quotas(&self) -> QuotaUsage {
         let mut quotas = QuotaUsage::default();
         for team in &self.settings.cluster.teams {
-            quotas
-                .limits
-                .insert(team.name.as_str().into(), team.limit());
+            quotas.set_limit(team.name.as_str().into(), team.limit());
         }
         for job in self.jobs.values() {
-            *quotas.used.entry(job.spec.team.clone()).or_default() += job.allocated();
+            quotas.add_usage(&job.spec.team, job.allocated());
         }
         quotas
     }
@@ -167,11 +165,11 @@
                     job,
                     within_guarantee: within_guarantee.contains(id),
                     starving: job.is_starving(self.unix_ms),
-                    zones,
+                    placed_by_zone: zones,
                 })
             })
             .collect();
-        placement::order(&mut candidates);
+        placement::sort_by_service_order(&mut candidates);
         candidates
     }
 
--- a/src/placement/consolidation.rs
+++ b/src/placement/consolidation.rs
@@ -1,95 +1,116 @@
-//! Which machine to drain: its replicas find room on others that hold services too, and it can be
-//! returned.
+//! Consolidation: which machine to drain because other machines can take the replicas on it.
 //!
-//! Services outlast the work that stood beside them, and leave machines half empty. A replica that
-//! moves is down for as long as it takes to start again, so it goes only where its image is.
+//! Services outlast the work that ran beside them and leave machines half empty. A replica that
+//! moves is down until it has started again, so it moves only to a machine that has its image.
 
-use super::{MachineSnapshot, allowed};
+use super::MachineSnapshot;
 use crate::constants::MAX_DRAINED_USE_PERMILLE;
 use crate::model::{JobSpec, MachineId, Resources};
 use std::collections::BTreeMap;
 
-/// A machine with nothing but replicas on it that may be stopped.
+/// A machine that holds nothing but replicas that may be stopped.
 #[derive(Debug)]
 pub struct Drainable<'a> {
+    /// The machine.
     pub machine: MachineId,
+    /// The job of each replica on it.
     pub replicas: Vec<&'a JobSpec>,
 }
 
-/// The emptiest of `candidates` whose replicas all find room on other slots of their zone.
-pub fn choose(candidates: &[Drainable<'_>], snapshots: &[MachineSnapshot]) -> Option<MachineId> {
+/// A machine that is little enough used to be drained.
+struct Source<'a> {
+    used_permille: u64,
+    drainable: &'a Drainable<'a>,
+    snapshot: &'a MachineSnapshot,
+}
+
+/// Chooses the least used candidate whose replicas all find room on other machines of its zone;
+/// ties are broken by id.
+pub fn choose_machine_to_drain(
+    candidates: &[Drainable<'_>],
+    snapshots: &[MachineSnapshot],
+) -> Option<MachineId> {
+    let sources = sources(candidates, snapshots);
+    let targets = targets(&sources, snapshots);
+    sources
+        .into_iter()
+        .find(|source| all_find_room(source, &targets))
+        .map(|source| source.drainable.machine.clone())
+}
+
+/// The candidates that may be drained, the least used first.
+fn sources<'a>(
+    candidates: &'a [Drainable<'_>],
+    snapshots: &'a [MachineSnapshot],
+) -> Vec<Source<'a>> {
     let by_id: BTreeMap<&MachineId, &MachineSnapshot> = snapshots
         .iter()
         .map(|snapshot| (&snapshot.id, snapshot))
         .collect();
-    let mut sources: Vec<(u64, &Drainable<'_>, &MachineSnapshot)> = candidates
+    let mut sources: Vec<Source<'_>> = candidates
         .iter()
-        .filter_map(|one| {
-            let snapshot = *by_id.get(&one.machine)?;
-            Some((share(snapshot), one, snapshot))
+        .filter_map(|drainable| {
+            let snapshot = *by_id.get(&drainable.machine)?;
+            Some(Source {
+                used_permille: snapshot.used_permille(),
+                drainable,
+                snapshot,
+            })
         })
-        .filter(|(share, ..)| *share <= MAX_DRAINED_USE_PERMILLE)
+        .filter(|source| source.used_permille <= MAX_DRAINED_USE_PERMILLE)
         .collect();
-    sources.sort_by_key(|(share, one, _)| (*share, &one.machine));
-    let targets = targets(&sources, snapshots);
+    sources.sort_by_key(|source| (source.used_permille, &source.drainable.machine));
     sources
-        .into_iter()
-        .find(|(_, one, from)| all_find_room(&one.replicas, from, &targets))
-        .map(|(_, one, _)| one.machine.clone())
 }
 
-/// Slots that hold services and have room for some replica: few in a busy fleet.
+/// Machines that hold services and have room for some replica: few in a busy cluster.
 fn targets<'a>(
-    sources: &[(u64, &Drainable<'_>, &MachineSnapshot)],
+    sources: &[Source<'_>],
     snapshots: &'a [MachineSnapshot],
 ) -> Vec<&'a MachineSnapshot> {
-    let replicas = sources.iter().flat_map(|(_, one, _)| &one.replicas);
+    let replicas = sources.iter().flat_map(|source| &source.drainable.replicas);
     let requests = replicas.map(|spec| spec.request);
-    let Some(least) = requests.reduce(Resources::component_min) else {
+    let Some(min_request) = requests.reduce(Resources::component_min) else {
         return Vec::new();
     };
-    let holds_services =
-        |snapshot: &&MachineSnapshot| snapshot.long_running != Resources::default();
-    let has_room = |snapshot: &&MachineSnapshot| least.fits_in(snapshot.available);
     snapshots
         .iter()
-        .filter(holds_services)
-        .filter(has_room)
+        .filter(|snapshot| snapshot.holds_services())
+        .filter(|snapshot| min_request.fits_in(snapshot.available))
         .collect()
 }
 
-/// The part of a machine that is in use, in thousandths.
-fn share(snapshot: &MachineSnapshot) -> u64 {
-    (snapshot.capacity - snapshot.available).permille_of(snapshot.capacity)
-}
-
-/// Whether each of the replicas has a place on a machine that is at least as full, holds services,
-/// and has its image. Within the zone, so that the spread over zones stays as it is.
-fn all_find_room(
-    replicas: &[&JobSpec],
-    from: &MachineSnapshot,
-    targets: &[&MachineSnapshot],
-) -> bool {
-    let least_share = share(from);
-    let may_take = |snapshot: &MachineSnapshot| {
-        snapshot.id != from.id && snapshot.zone == from.zone && share(snapshot) >= least_share
+/// Whether each replica has room on a target that is at least as full and has its image. Targets
+/// are of the same zone, so that the distribution over zones stays as it is.
+fn all_find_room(source: &Source<'_>, targets: &[&MachineSnapshot]) -> bool {
+    let may_take = |target: &MachineSnapshot| {
+        target.id != source.snapshot.id
+            && target.zone == source.snapshot.zone
+            && target.used_permille() >= source.used_permille
     };
-    // Copies of those that were given replicas.
+    // Copies of the targets that were given replicas, by index.
     let mut filled: BTreeMap<usize, MachineSnapshot> = BTreeMap::new();
-    replicas.iter().all(|spec| {
-        let place = (0..targets.len()).find(|at| {
-            let snapshot = filled.get(at).unwrap_or(targets[*at]);
-            may_take(targets[*at])
-                && spec.request.fits_in(snapshot.available)
-                && allowed(spec, &snapshot.machine_type, &snapshot.zone, snapshot.spot)
-                && (spec.image_gb <= 0.0 || snapshot.images.contains(&spec.image))
+    source.drainable.replicas.iter().all(|spec| {
+        let target_index = (0..targets.len()).find(|index| {
+            let snapshot = filled.get(index).unwrap_or(targets[*index]);
+            may_take(targets[*index]) && has_room_and_image(snapshot, spec)
         });
-        let Some(at) = place else { return false };
-        let snapshot = filled.entry(at).or_insert_with(|| targets[at].clone());
+        let Some(index) = target_index else {
+            return false;
+        };
+        let snapshot = filled
+            .entry(index)
+            .or_insert_with(|| targets[index].clone());
         snapshot.allocate(spec, 1);
         true
     })
 }
 
+fn has_room_and_image(snapshot: &MachineSnapshot, replica: &JobSpec) -> bool {
+    replica.request.fits_in(snapshot.available)
+        && snapshot.is_eligible_for(replica)
+        && snapshot.has_image_of(replica)
+}
+
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/placement/planner.rs
@@ -0,0 +1,205 @@
+//! The pass that plans a round.
+
+use super::candidate::{Candidate, min_request};
+use super::gang::assign_gang;
+use super::packing::{Assignment, assign_tasks, assigned_tasks};
+use super::quota::QuotaUsage;
+use super::reservation::reserve_for_gang;
+use super::round::{RoundLimits, RoundPlan, TaskStart, Unplaced};
+use super::snapshot::MachineSnapshot;
+use crate::constants::MAX_UNPLACED_TASKS;
+use crate::model::{JobId, JobSpec};
+use crate::wire::user::JobKind;
+
+/// Plans a round within `limits` for candidates in the order of service. `snapshots` (their order,
+/// too) and `quotas` change to what is left after the round.
+pub fn plan_round(
+    candidates: &[Candidate<'_>],
+    snapshots: &mut Vec<MachineSnapshot>,
+    quotas: &mut QuotaUsage,
+    limits: RoundLimits,
+) -> RoundPlan {
+    let open_machines = move_open_machines_first(snapshots, candidates);
+    let mut planner = RoundPlanner {
+        snapshots,
+        open_machines,
+        quotas,
+        limits,
+        jobs_with_starts: 0,
+        plan: RoundPlan::default(),
+    };
+    for candidate in candidates {
+        planner.plan_candidate(candidate);
+    }
+    planner.plan
+}
+
+/// Moves the machines that have room for the smallest request to the front, and returns their
+/// number. The others, most machines of a busy cluster, need not be looked at for each job.
+fn move_open_machines_first(
+    snapshots: &mut Vec<MachineSnapshot>,
+    candidates: &[Candidate<'_>],
+) -> usize {
+    let Some(min_request) = min_request(candidates) else {
+        return 0;
+    };
+    let (open, full): (Vec<MachineSnapshot>, Vec<MachineSnapshot>) = std::mem::take(snapshots)
+        .into_iter()
+        .partition(|snapshot| min_request.fits_in(snapshot.available));
+    let count = open.len();
+    snapshots.extend(open);
+    snapshots.extend(full);
+    count
+}
+
+/// What a gang came to in a round.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum GangOutcome {
+    /// All of its tasks start.
+    Placed,
+    /// Its team's limit does not allow it.
+    OverQuota,
+    /// The round may not hold as many starts.
+    RoundFull,
+    /// The machines do not have room for all of its tasks.
+    NoRoom,
+}
+
+/// A round while it is planned.
+struct RoundPlanner<'a> {
+    /// All machines; first those with room when the pass began.
+    snapshots: &'a mut [MachineSnapshot],
+    /// Number of machines with room when the pass began.
+    open_machines: usize,
+    quotas: &'a mut QuotaUsage,
+    limits: RoundLimits,
+    /// Jobs with starts in `plan.starts`.
+    jobs_with_starts: usize,
+    plan: RoundPlan,
+}
+
+impl RoundPlanner<'_> {
+    fn plan_candidate(&mut self, candidate: &Candidate<'_>) {
+        let starts_before = self.plan.starts.len();
+        if candidate.job.spec.kind == JobKind::Gang {
+            let outcome = self.plan_gang(candidate);
+            if outcome == GangOutcome::NoRoom && candidate.reserves_machines() {
+                reserve_for_gang(&candidate.job.spec, self.snapshots);
+            }
+        } else {
+            self.plan_tasks(candidate);
+        }
+        self.jobs_with_starts += usize::from(self.plan.starts.len() > starts_before);
+    }
+
+    /// Starts that the round may still hold. A full round does not end the pass: the tasks that
+    /// wait for room have to be known for scaling out.
+    fn remaining_starts(&self) -> usize {
+        if self.jobs_with_starts < self.limits.jobs {
+            self.limits.starts.saturating_sub(self.plan.starts.len())
+        } else {
+            0
+        }
+    }
+
+    /// Starts as many tasks of a job as its team's limit, the round and the machines allow.
+    fn plan_tasks(&mut self, candidate: &Candidate<'_>) {
+        let spec = &candidate.job.spec;
+        let remaining = self.remaining_starts().min(u32::MAX as usize) as u32;
+        // By how much a huge array exceeds all machines need not be known.
+        let countable = remaining.saturating_add(MAX_UNPLACED_TASKS);
+        let pending = candidate.job.pending.len() as u32;
+        let allowed = self
+            .quotas
+            .reserve(&spec.team, spec.request, pending.min(countable));
+        let assignments = assign_tasks(
+            spec,
+            &candidate.placed_by_zone,
+            &self.snapshots[..self.open_machines],
+            allowed.min(remaining),
+            None,
+        );
+        let unplaced = allowed - assigned_tasks(&assignments);
+        let indices = candidate.job.pending.iter();
+        let starts = self.allocate(candidate.id, spec, indices, &assignments);
+        self.plan.starts.extend(starts);
+        if unplaced > 0 {
+            let released = spec.request.times(u64::from(unplaced));
+            self.quotas.release(&spec.team, released);
+            self.plan.unplaced.push(Unplaced {
+                job: candidate.id.clone(),
+                tasks: unplaced.min(MAX_UNPLACED_TASKS),
+            });
+        }
+    }
+
+    /// Starts all tasks of a gang or none.
+    fn plan_gang(&mut self, candidate: &Candidate<'_>) -> GangOutcome {
+        let spec = &candidate.job.spec;
+        let total_request = spec.total_request();
+        if self.quotas.reserve(&spec.team, total_request, 1) == 0 {
+            return GangOutcome::OverQuota;
+        }
+        let fits_in_round = spec.tasks as usize <= self.remaining_starts_for_gang(spec);
+        let open = &self.snapshots[..self.open_machines];
+        let assignments = fits_in_round.then(|| assign_gang(spec, open)).flatten();
+        let Some(assignments) = assignments else {
+            self.quotas.release(&spec.team, total_request);
+            self.plan.unplaced.push(Unplaced {
+                job: candidate.id.clone(),
+                tasks: spec.tasks,
+            });
+            return if fits_in_round {
+                GangOutcome::NoRoom
+            } else {
+                GangOutcome::RoundFull
+            };
+        };
+        let starts = self.allocate(candidate.id, spec, 0..spec.tasks, &assignments);
+        if self.is_large_gang(spec) {
+            self.plan.large_gang = starts;
+        } else {
+            self.plan.starts.extend(starts);
+        }
+        GangOutcome::Placed
+    }
+
+    /// Whether one transaction cannot write the gang's starts.
+    fn is_large_gang(&self, spec: &JobSpec) -> bool {
+        spec.tasks as usize > self.limits.starts
+    }
+
+    /// Starts that the round of a gang may still hold; a large gang has a round of its own.
+    fn remaining_starts_for_gang(&self, spec: &JobSpec) -> usize {
+        if !self.is_large_gang(spec) {
+            self.remaining_starts()
+        } else if self.limits.allows_large_gang && self.plan.large_gang.is_empty() {
+            usize::MAX
+        } else {
+            0
+        }
+    }
+
+    /// Allocates the assigned machines and returns the starts of the job's next tasks on them.
+    fn allocate(
+        &mut self,
+        id: &JobId,
+        spec: &JobSpec,
+        mut indices: impl Iterator<Item = u32>,
+        assignments: &[Assignment],
+    ) -> Vec<TaskStart> {
+        let mut starts = Vec::new();
+        for assignment in assignments {
+            let snapshot = &mut self.snapshots[assignment.machine_index];
+            snapshot.allocate(spec, assignment.tasks);
+            for index in indices.by_ref().take(assignment.tasks as usize) {
+                starts.push(TaskStart {
+                    job: id.clone(),
+                    index,
+                    machine: snapshot.id.clone(),
+                });
+            }
+        }
+        starts
+    }
+}
--- /dev/null
+++ b/src/placement/preemption/tests.rs
@@ -0,0 +1,104 @@
+use super::*;
+use crate::model::{JobPhase, PlacementStage};
+use crate::placement::tests::{candidate, snapshot};
+use crate::wire::user::{JobKind, tests::job as job_submission};
+use crate::wire::worker::TaskState;
+
+/// A job whose first tasks run on `machines`, one on each.
+fn job(team: &str, priority: Priority, machines: &[&str]) -> Job {
+    let mut submission = job_submission("run-1", JobKind::Array, 4);
+    submission.team = team.into();
+    submission.priority = priority;
+    submission.gpus = 2.0;
+    let mut job = Job::new(JobSpec::from(&submission), 1, 0, JobPhase::Open, 0);
+    for (index, machine) in (0..).zip(machines) {
+        let placement = Placement {
+            machine: (*machine).into(),
+            attempt: 1,
+            stage: PlacementStage::Reported(TaskState::Running),
+            stage_since: 0,
+            stop_request: None,
+        };
+        job.placements.insert(index, placement);
+    }
+    job
+}
+
+/// A job that runs.
+struct RunningJob<'a> {
+    id: &'a str,
+    job: &'a Job,
+    within_guarantee: bool,
+}
+
+/// The victims for one task of `waiting` on two machines of four GPUs.
+fn victims(waiting: &Job, within_guarantee: bool, running: &[RunningJob<'_>]) -> Vec<String> {
+    let mut snapshots = ["a", "b"].map(|id| snapshot(id, "east", 4.0));
+    for job in running.iter().map(|running| running.job) {
+        for placement in job.placements.values() {
+            let snapshot = snapshots
+                .iter_mut()
+                .find(|snapshot| snapshot.id == placement.machine)
+                .unwrap();
+            snapshot.available = snapshot.available - job.spec.request;
+        }
+    }
+    let ids: Vec<JobId> = running.iter().map(|running| running.id.into()).collect();
+    let jobs = ids.iter().zip(running.iter().map(|running| running.job));
+    let is_within_guarantee = |id: &JobId| {
+        running
+            .iter()
+            .any(|running| running.within_guarantee && running.id == &*id.0)
+    };
+    let preemptible = preemptible_tasks(jobs, is_within_guarantee, MIN_RUN_BEFORE_PREEMPTION_MS);
+    let id = JobId::from("run-0");
+    let candidate = Candidate {
+        within_guarantee,
+        ..candidate(&id, waiting)
+    };
+    choose_victims(&candidate, 1, &snapshots, &preemptible)
+        .iter()
+        .map(ToString::to_string)
+        .collect()
+}
+
+/// A running job outside its team's guarantee.
+fn beyond_guarantee<'a>(id: &'a str, job: &'a Job) -> RunningJob<'a> {
+    RunningJob {
+        id,
+        job,
+        within_guarantee: false,
+    }
+}
+
+#[test]
+fn lower_priority_gives_way_and_equal_does_not() {
+    let waiting = job("x", Priority::High, &[]);
+    let low = job("x", Priority::Low, &["a", "b"]);
+    let normal = job("x", Priority::Normal, &["a", "b"]);
+    let running = [
+        beyond_guarantee("run-8", &normal),
+        beyond_guarantee("run-9", &low),
+    ];
+    assert_eq!(victims(&waiting, false, &running), ["run-9/0"]);
+    let equal = job("x", Priority::High, &["a", "a", "b", "b"]);
+    let running = [beyond_guarantee("run-9", &equal)];
+    assert!(victims(&waiting, false, &running).is_empty());
+}
+
+#[test]
+fn borrowed_room_is_given_back_whatever_its_priority() {
+    let waiting = job("x", Priority::Normal, &[]);
+    let other_team = job("y", Priority::Production, &["a", "a", "b", "b"]);
+    let borrowing = [beyond_guarantee("run-9", &other_team)];
+    assert_eq!(victims(&waiting, true, &borrowing).len(), 1);
+    let guaranteed = [RunningJob {
+        within_guarantee: true,
+        ..beyond_guarantee("run-9", &other_team)
+    }];
+    assert!(
+        victims(&waiting, true, &guaranteed).is_empty(),
+        "within its team's guarantee"
+    );
+    assert!(victims(&waiting, false, &borrowing).is_empty());
+}
--- /dev/null
+++ b/src/placement/quota.rs
@@ -0,0 +1,50 @@
+//! Teams' quotas while a round is planned.
+
+use crate::model::Resources;
+use crate::settings::Limit;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// What each team uses and may use. A team without a limit may use nothing.
+#[derive(Debug, Clone, Default)]
+pub struct QuotaUsage {
+    used: BTreeMap<Arc<str>, Resources>,
+    limits: BTreeMap<Arc<str>, Limit>,
+}
+
+impl QuotaUsage {
+    /// Sets what a team may use.
+    pub fn set_limit(&mut self, team: Arc<str>, limit: Limit) {
+        self.limits.insert(team, limit);
+    }
+
+    /// Counts resources that a team uses.
+    pub fn add_usage(&mut self, team: &Arc<str>, resources: Resources) {
+        *self.used.entry(team.clone()).or_default() += resources;
+    }
+
+    /// Reserves `request` for a team up to `max_times` times, as far as its limit allows; returns
+    /// how many times it did.
+    pub(super) fn reserve(&mut self, team: &Arc<str>, request: Resources, max_times: u32) -> u32 {
+        let used = self.used_by(team);
+        let remaining = self.limits.get(team).map(|limit| limit.less(used));
+        let times = remaining.map_or(0, |remaining| {
+            remaining.max_multiple(request).min(max_times)
+        });
+        if times > 0 {
+            self.used
+                .insert(team.clone(), used + request.times(u64::from(times)));
+        }
+        times
+    }
+
+    /// Releases resources that were reserved for a team.
+    pub(super) fn release(&mut self, team: &Arc<str>, resources: Resources) {
+        let used = self.used_by(team) - resources;
+        self.used.insert(team.clone(), used);
+    }
+
+    fn used_by(&self, team: &str) -> Resources {
+        self.used.get(team).copied().unwrap_or_default()
+    }
+}
