--- /dev/null
+++ b/src/autoscaler/arrivals.rs
@@ -0,0 +1,102 @@
+//! Prediction of jobs that arrive soon, from those that arrived lately.
+
+use super::startup::Startup;
+use crate::constants::{ARRIVAL_WINDOW_MS, MAX_ARRIVALS};
+use crate::model::{JobId, JobSpec, MachineTypes};
+use crate::settings::ServiceLevelObjective;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The latest arrivals of jobs that could run at once, at most [`MAX_ARRIVALS`].
+#[derive(Debug, Default)]
+pub struct ArrivalHistory {
+    /// By the time from which the job could run (unix time, ms), which is the same on a node that
+    /// has just started, and id.
+    arrivals: BTreeMap<(u64, JobId), JobSpec>,
+}
+
+impl ArrivalHistory {
+    /// Records a job that could run from the unix time `ready_at_ms`; drops the earliest arrival
+    /// beyond the limit.
+    pub fn record(&mut self, ready_at_ms: u64, id: &JobId, spec: &JobSpec) {
+        self.arrivals
+            .insert((ready_at_ms, id.clone()), spec.clone());
+        if self.arrivals.len() > MAX_ARRIVALS {
+            self.arrivals.pop_first();
+        }
+    }
+
+    /// Jobs to expect while a machine boots, as copies of the latest arrivals of their class. Only
+    /// for classes with an objective that a job misses if a machine has to be rented for it first.
+    /// `unix_ms` is the present unix time, ms.
+    pub fn expected(
+        &self,
+        unix_ms: u64,
+        types: &MachineTypes,
+        objectives: &[ServiceLevelObjective],
+    ) -> Vec<JobSpec> {
+        let window = self.window(unix_ms);
+        let mut expected = Vec::new();
+        for (class, specs) in self.latest_by_class(unix_ms, window) {
+            let startup = specs.iter().find_map(|spec| {
+                let startup = Startup::shortest(spec, types)?;
+                startup
+                    .misses_objective(class, objectives)
+                    .then_some(startup)
+            });
+            let Some(startup) = startup else {
+                continue;
+            };
+            let count = expected_count(&specs, startup, window);
+            expected.extend(specs.into_iter().take(count).map(without_image));
+        }
+        expected
+    }
+
+    /// The time over which the rate of arrivals is taken.
+    fn window(&self, unix_ms: u64) -> Duration {
+        let first = self.arrivals.keys().next();
+        let first_ms = first.map_or(unix_ms, |(ready_at_ms, _)| *ready_at_ms);
+        let history_ms = unix_ms.saturating_sub(first_ms);
+        Duration::from_millis(history_ms.clamp(1, ARRIVAL_WINDOW_MS))
+    }
+
+    /// Arrivals within the window by class, the latest first.
+    fn latest_by_class(
+        &self,
+        unix_ms: u64,
+        window: Duration,
+    ) -> BTreeMap<&Arc<str>, Vec<&JobSpec>> {
+        let mut classes: BTreeMap<&Arc<str>, Vec<&JobSpec>> = BTreeMap::new();
+        for ((ready_at_ms, _), spec) in self.arrivals.iter().rev() {
+            let age = Duration::from_millis(unix_ms.saturating_sub(*ready_at_ms));
+            if age <= window {
+                classes.entry(&spec.class).or_default().push(spec);
+            }
+        }
+        classes
+    }
+}
+
+/// How many jobs of a class hold resources at the same time, if they arrive for the lead time of
+/// `startup` at the rate of the window. A job that ends within the lead time leaves its resources
+/// to a later one.
+fn expected_count(specs: &[&JobSpec], startup: Startup, window: Duration) -> usize {
+    let lead_time = startup.lead_time();
+    let held = specs
+        .iter()
+        .map(|spec| startup.occupancy(spec).min(lead_time))
+        .fold(Duration::ZERO, Duration::saturating_add);
+    let count = held.as_millis().div_ceil(window.as_millis());
+    usize::try_from(count).unwrap_or(usize::MAX)
+}
+
+/// A copy that needs resources only. Expected jobs do not all arrive at once, nor with these
+/// images; with an image, each would be planned on a machine of its own to fetch it.
+fn without_image(spec: &JobSpec) -> JobSpec {
+    JobSpec {
+        image_gb: 0.0,
+        ..spec.clone()
+    }
+}
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -1,9 +1,12 @@
 use super::*;
-use crate::model::{JobPhase, JobSpec};
-use crate::wire::user::{JobKind, tests::job as wire_job};
+use crate::model::{Job, JobId, JobPhase, JobSpec, MachineType, MachineTypes, Resources};
+use crate::placement::TasksByZone;
+use crate::settings::{ObjectiveKind, ServiceLevelObjective};
+use crate::wire::user::{JobKind, JobSubmission, tests::job as job_submission};
 
-fn types() -> MachineTypes {
-    let one = |name: &str, gpus: f64, price: f64| MachineType {
+/// Two types in two zones: the big one has four times the GPUs of the small one at twice the price.
+fn machine_types() -> MachineTypes {
+    let machine_type = |name: &str, gpus: f64, price: f64| MachineType {
         name: name.into(),
         capacity: Resources::capacity(64.0, gpus, 512.0),
         cache_gb: 100.0,
@@ -13,27 +16,31 @@
         boot_ms: 30_000,
         zones: vec!["east".into(), "west".into()],
     };
-    [one("big", 8.0, 8.0), one("small", 2.0, 4.0)]
-        .into_iter()
-        .map(|t| (t.name.clone(), t))
-        .collect()
+    [
+        machine_type("big", 8.0, 8.0),
+        machine_type("small", 2.0, 4.0),
+    ]
+    .into_iter()
+    .map(|machine_type| (machine_type.name.clone(), machine_type))
+    .collect()
 }
 
-fn want(
+/// What is rented for a job without any machine there; `change` changes its submission.
+fn rentals(
     kind: JobKind,
     tasks: u32,
     refused: &[MachineOffer],
-    change: impl Fn(&mut crate::wire::user::JobSubmission),
+    change: impl Fn(&mut JobSubmission),
 ) -> Vec<(MachineOffer, u64)> {
-    let mut wire = wire_job("run-1", kind, tasks.into());
-    change(&mut wire);
-    let job = Job::new(JobSpec::from(&wire), 1, 0, JobPhase::Open, 0);
-    let types = types();
-    let offers = offers(&types, &refused.iter().cloned().collect(), true);
+    let mut submission = job_submission("run-1", kind, tasks.into());
+    change(&mut submission);
+    let job = Job::new(JobSpec::from(&submission), 1, 0, JobPhase::Open, 0);
+    let types = machine_types();
+    let offers = available_offers(&types, &refused.iter().cloned().collect(), true);
     let waiting = [WaitingJob {
         job: &job,
         tasks,
-        zones: BTreeMap::new(),
+        placed_by_zone: TasksByZone::new(),
     }];
     scaling_plan(&waiting, Vec::new(), &types, &offers, 50)
         .rent
@@ -43,14 +50,17 @@
 
 #[test]
 fn the_cheapest_share_is_rented_and_filled() {
-    let got = want(JobKind::Array, 9, &[], |_| {});
-    assert_eq!(got.len(), 1);
+    let rented = rentals(JobKind::Array, 9, &[], |_| {});
+    assert_eq!(rented.len(), 1);
+    let (offer, count) = &rented[0];
     assert_eq!(
-        (&*got[0].0.machine_type, got[0].0.spot, got[0].1),
+        (&*offer.machine_type, offer.spot, *count),
         ("big", false, 2)
     );
-    let got = want(JobKind::Array, 1, &[], |j| j.allows_spot = true);
-    assert!(got[0].0.spot);
+    let rented = rentals(JobKind::Array, 1, &[], |submission| {
+        submission.allows_spot = true
+    });
+    assert!(rented[0].0.spot);
 }
 
 #[test]
@@ -60,69 +70,109 @@
         zone: "east".into(),
         spot: false,
     };
-    let got = want(JobKind::Gang, 12, &[big_east], |j| j.single_zone = true);
-    assert_eq!(got.len(), 1);
-    assert_eq!((&*got[0].0.zone, got[0].1), ("west", 2));
-    let got = want(JobKind::Service, 4, &[], |j| j.spread_zones = true);
-    assert_eq!(got.len(), 2, "a spread service needs both zones");
+    let rented = rentals(JobKind::Gang, 12, &[big_east], |submission| {
+        submission.single_zone = true
+    });
+    assert_eq!(rented.len(), 1);
+    let (offer, count) = &rented[0];
+    assert_eq!((&*offer.zone, *count), ("west", 2));
+    let rented = rentals(JobKind::Service, 4, &[], |submission| {
+        submission.spread_zones = true
+    });
+    assert_eq!(rented.len(), 2, "a spread service needs both zones");
 }
 
-/// A node that had just started once took all live jobs for arrivals of that moment, and
-/// rented for as many again.
-#[test]
-fn jobs_from_before_a_restart_are_no_arrivals() {
-    let aim = ServiceLevelObjective {
+/// Jobs of the class "train" are to start within 20 s: sooner than a machine boots.
+fn start_objective() -> ServiceLevelObjective {
+    ServiceLevelObjective {
         kind: ObjectiveKind::Wait,
         class: Some("train".into()),
         within_ms: Some(20_000),
-    };
-    let spec = JobSpec::from(&wire_job("run-1", JobKind::Service, 1));
-    let mut arrivals = ArrivalHistory::default();
-    for n in 0..30 {
-        arrivals.note(1_000_000 + n, &JobId::from(&*format!("run-{n}")), &spec);
     }
-    let aims = std::slice::from_ref(&aim);
-    let expected = |a: &ArrivalHistory, unix_ms| a.expected(unix_ms, &types(), aims).len();
-    assert_eq!(expected(&arrivals, 1_400_000), 0);
-    for n in 0..18 {
-        arrivals.note(
-            1_220_000 + n * 10_000,
-            &JobId::from(&*format!("run-9{n}")),
-            &spec,
-        );
+}
+
+/// Arrivals at regular intervals; times are unix times, ms.
+struct RegularArrivals {
+    count: u64,
+    first_ms: u64,
+    interval_ms: u64,
+}
+
+fn record_arrivals(
+    history: &mut ArrivalHistory,
+    spec: &JobSpec,
+    id_prefix: &str,
+    arrivals: RegularArrivals,
+) {
+    for number in 0..arrivals.count {
+        let id = JobId::from(&*format!("{id_prefix}{number}"));
+        let ready_at_ms = arrivals.first_ms + number * arrivals.interval_ms;
+        history.record(ready_at_ms, &id, spec);
     }
+}
+
+fn expected_jobs(history: &ArrivalHistory, unix_ms: u64) -> usize {
+    let objectives = [start_objective()];
+    history
+        .expected(unix_ms, &machine_types(), &objectives)
+        .len()
+}
+
+/// A node that has just started learns of all open jobs at once; they count by their own times.
+#[test]
+fn jobs_from_before_a_restart_are_no_arrivals() {
+    let spec = JobSpec::from(&job_submission("run-1", JobKind::Service, 1));
+    let mut history = ArrivalHistory::default();
+    record_arrivals(
+        &mut history,
+        &spec,
+        "run-",
+        RegularArrivals {
+            count: 30,
+            first_ms: 1_000_000,
+            interval_ms: 1,
+        },
+    );
+    assert_eq!(expected_jobs(&history, 1_400_000), 0);
+    record_arrivals(
+        &mut history,
+        &spec,
+        "run-9",
+        RegularArrivals {
+            count: 18,
+            first_ms: 1_220_000,
+            interval_ms: 10_000,
+        },
+    );
     // One in 10 s, and 45 s (with a margin of a half) from renting to running: 7.
-    assert_eq!(expected(&arrivals, 1_400_000), 7);
+    assert_eq!(expected_jobs(&history, 1_400_000), 7);
 }
 
-/// Room for expected jobs was kept as if none of them ended: arrays of half a minute, expected
-/// over more than a minute, kept several times the room that they ever hold at once.
+/// One job in 2 s; 30 s for a boot and 15 s for the image, with a margin of a half 67.5 s for both.
 #[test]
 fn short_jobs_leave_their_room_to_the_next_ones() {
-    let aim = ServiceLevelObjective {
-        kind: ObjectiveKind::Wait,
-        class: Some("train".into()),
-        within_ms: Some(20_000),
-    };
-    let expected = |kind, estimate_s| {
-        let mut wire = wire_job("run-1", kind, 1);
-        wire.expected_duration_s = estimate_s;
-        let spec = JobSpec::from(&wire);
-        let mut arrivals = ArrivalHistory::default();
-        // One in 2 s, 30 s for a boot and 15 s for the image, and with a margin of a half 67.5 s
-        // for both.
-        for n in 0..90 {
-            let id = JobId::from(&*format!("run-{n}"));
-            arrivals.note(1_000_000 + n * 2_000, &id, &spec);
-        }
-        let aims = std::slice::from_ref(&aim);
-        arrivals.expected(1_180_000, &types(), aims).len()
+    let expected = |kind, expected_duration_s| {
+        let mut submission = job_submission("run-1", kind, 1);
+        submission.expected_duration_s = expected_duration_s;
+        let spec = JobSpec::from(&submission);
+        let mut history = ArrivalHistory::default();
+        record_arrivals(
+            &mut history,
+            &spec,
+            "run-",
+            RegularArrivals {
+                count: 90,
+                first_ms: 1_000_000,
+                interval_ms: 2_000,
+            },
+        );
+        expected_jobs(&history, 1_180_000)
     };
     assert_eq!(expected(JobKind::Array, 9.0), 12, "as many as run at once");
     assert_eq!(
         expected(JobKind::Array, 900.0),
         34,
-        "all that come meanwhile"
+        "all that arrive meanwhile"
     );
     assert_eq!(
         expected(JobKind::Service, 0.0),
--- a/src/engine/autoscaling/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -182,6 +182,6 @@
     WaitingJob {
         job: candidate.job,
         tasks,
-        zones: candidate.placed_by_zone.clone(),
+        placed_by_zone: candidate.placed_by_zone.clone(),
     }
 }
--- a/src/engine/autoscaling/preemption.rs
+++ b/src/engine/autoscaling/preemption.rs
@@ -51,7 +51,7 @@
             // Room that will soon be there is first come, first served: it is taken off for
             // the jobs after this one.
             let waiting = waiting_tasks(candidate, unplaced.tasks);
-            let has_room = autoscaler::has_room(&waiting, &mut expected);
+            let has_room = autoscaler::try_allocate(&waiting, &mut expected);
             if has_room || !self.may_preempt_for(candidate) {
                 continue;
             }
--- a/src/engine/autoscaling/renting.rs
+++ b/src/engine/autoscaling/renting.rs
@@ -68,7 +68,7 @@
         let copies = expected.iter().map(|job| autoscaler::WaitingJob {
             job,
             tasks: job.spec.tasks,
-            zones: BTreeMap::new(),
+            placed_by_zone: BTreeMap::new(),
         });
         let waiting: Vec<autoscaler::WaitingJob<'_>> = waiting.chain(copies).collect();
         let requests = waiting.iter().map(|one| one.job.spec.request);
@@ -80,7 +80,7 @@
             .machines
             .with_room(smallest_request, |m| self.is_expected(m));
         let refused = leader.autoscaling.refused_offers(self.now);
-        let offers = autoscaler::offers(types, &refused, self.settings.operator.spot);
+        let offers = autoscaler::available_offers(types, &refused, self.settings.operator.spot);
         autoscaler::scaling_plan(
             &waiting,
             snapshots,
--- a/src/engine/dependencies.rs
+++ b/src/engine/dependencies.rs
@@ -216,7 +216,7 @@
         let spec = JobSpec::from(&record.job);
         tracing::debug!(job = %id, class = %spec.class, tasks = spec.tasks, "job seen");
         let ready = record.ready_ms.unwrap_or(record.at_ms);
-        self.arrival_history.note(ready, id, &spec);
+        self.arrival_history.record(ready, id, &spec);
         let mut job = Job::new(spec, version, record.at_ms, JobPhase::Open, self.now);
         job.ready_at = ready;
         self.jobs.insert(id.clone(), job);
