--- a/src/placement/candidate.rs
+++ b/src/placement/candidate.rs
@@ -82,3 +82,6 @@
         .map(|candidate| candidate.job.spec.request)
         .reduce(Resources::component_min)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/placement/reservation.rs
+++ b/src/placement/reservation.rs
@@ -94,3 +94,6 @@
             .min(MAX_TASKS_PER_MACHINE),
     })
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/placement/reservation/tests.rs
@@ -0,0 +1,63 @@
+use super::*;
+use crate::placement::tests::{job, snapshot};
+use crate::wire::user::{JobKind, JobSubmission};
+
+/// A machine of eight GPUs in `zone`, of which `available_gpus` are available.
+fn machine(id: &str, zone: &str, available_gpus: u64) -> MachineSnapshot {
+    let mut machine = snapshot(id, zone, 8.0);
+    machine.available.gpus = available_gpus * 1000;
+    machine
+}
+
+/// A gang of `tasks` tasks that take a whole machine each.
+fn gang_of_whole_machines(tasks: u64, single_zone: bool) -> JobSpec {
+    let change = |submission: &mut JobSubmission| {
+        submission.gpus = 8.0;
+        submission.single_zone = single_zone;
+    };
+    job(JobKind::Gang, tasks, change).spec
+}
+
+/// The ids of the machines on which nothing is available after the reservation.
+fn reserved<'a>(spec: &JobSpec, machines: &'a mut [MachineSnapshot]) -> Vec<&'a str> {
+    reserve_for_gang(spec, machines);
+    machines
+        .iter()
+        .filter(|machine| machine.available == Resources::default())
+        .map(|machine| &*machine.id.0)
+        .collect()
+}
+
+#[test]
+fn machines_with_the_least_work_to_end_are_reserved() {
+    let mut machines = [
+        machine("a", "east", 1),
+        machine("b", "east", 7),
+        machine("c", "west", 5),
+    ];
+    let gang = gang_of_whole_machines(2, false);
+    assert_eq!(reserved(&gang, &mut machines), ["b", "c"]);
+}
+
+#[test]
+fn a_gang_that_needs_one_zone_reserves_in_one_zone() {
+    let mut machines = [
+        machine("a", "east", 1),
+        machine("b", "east", 7),
+        machine("c", "west", 5),
+        machine("d", "west", 5),
+    ];
+    let gang = gang_of_whole_machines(2, true);
+    assert_eq!(reserved(&gang, &mut machines), ["c", "d"]);
+}
+
+#[test]
+fn nothing_is_reserved_if_the_machines_cannot_hold_the_gang() {
+    let mut machines = [machine("a", "east", 1), machine("b", "west", 7)];
+    let gang = gang_of_whole_machines(3, false);
+    assert!(reserved(&gang, &mut machines).is_empty());
+    // A service on a machine does not end.
+    machines[0].long_running.gpus = 1000;
+    let gang = gang_of_whole_machines(2, false);
+    assert!(reserved(&gang, &mut machines).is_empty());
+}
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -2,7 +2,7 @@
 use crate::constants::MAX_TASKS_PER_MACHINE;
 use crate::model::{Job, JobId, JobPhase, JobSpec, Resources};
 use crate::settings::Limit;
-use crate::wire::user::{JobKind, JobSubmission, Priority, tests::job as job_submission};
+use crate::wire::user::{JobKind, JobSubmission, tests::job as job_submission};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -36,7 +36,7 @@
 }
 
 /// An open job of the team "vision" whose tasks request one GPU each, unless `change` says otherwise.
-fn job(kind: JobKind, tasks: u64, change: impl Fn(&mut JobSubmission)) -> Job {
+pub(super) fn job(kind: JobKind, tasks: u64, change: impl Fn(&mut JobSubmission)) -> Job {
     let mut submission = job_submission("run-1", kind, tasks);
     change(&mut submission);
     Job::new(JobSpec::from(&submission), 1, 0, JobPhase::Open, 0)
@@ -141,38 +141,6 @@
     assert_eq!(plan.starts.len(), 3);
 }
 
-#[test]
-fn earlier_deadlines_are_served_first_within_a_priority() {
-    let with_deadline = |deadline_s| {
-        job(JobKind::Array, 1, move |submission| {
-            submission.deadline_s = deadline_s
-        })
-    };
-    let mut urgent = with_deadline(None);
-    urgent.spec.priority = Priority::High;
-    let jobs = [
-        with_deadline(None),
-        with_deadline(Some(90.0)),
-        with_deadline(Some(30.0)),
-        urgent,
-    ];
-    let ids = ["run-1", "run-2", "run-3", "run-4"].map(JobId::from);
-    let mut candidates: Vec<Candidate<'_>> = ids
-        .iter()
-        .zip(&jobs)
-        .map(|(id, job)| Candidate {
-            within_guarantee: false,
-            ..candidate(id, job)
-        })
-        .collect();
-    sort_by_service_order(&mut candidates);
-    let order: Vec<&str> = candidates
-        .iter()
-        .map(|candidate| &*candidate.id.0)
-        .collect();
-    assert_eq!(order, ["run-4", "run-3", "run-2", "run-1"]);
-}
-
 #[test]
 fn zones_machine_types_and_spot_rules_are_kept() {
     let mut snapshots = [snapshot("a", "east", 9.0), snapshot("b", "west", 9.0)];
