--- a/src/autoscaler/startup.rs
+++ b/src/autoscaler/startup.rs
@@ -5,7 +5,7 @@
 use crate::wire::user::JobKind;
 use std::time::Duration;
 
-/// Least fetch rate that is calculated with, GB/s, so that a type without one is no division by 0.
+/// Lower bound on a fetch rate, GB/s; a type with a rate of 0 would divide by 0.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 /// Nominal times that pass before a job's tasks run on a machine that is yet to be rented.
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -32,7 +32,7 @@
 pub(crate) use constraints::{add_tasks, is_eligible, zone_headroom};
 pub(crate) use packing::{Assignment, assign_tasks, assigned_tasks};
 
-/// The whole of a machine, in thousandths.
+/// All of a machine, in thousandths.
 const PERMILLE: u64 = 1000;
 
 #[cfg(test)]
