--- a/src/engine/autoscaling/consolidation.rs
+++ b/src/engine/autoscaling/consolidation.rs
@@ -55,7 +55,7 @@
             .filter_map(|machine| self.as_drainable(machine))
             .collect();
         let any = Resources::default();
-        consolidation::choose(&candidates, &leader.machines.schedulable(any))
+        consolidation::choose_machine_to_drain(&candidates, &leader.machines.schedulable(any))
     }
 
     /// The machine with its replicas, if it holds nothing else and all of them have run for a while.
--- a/src/engine/autoscaling/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -167,6 +167,6 @@
     WaitingJob {
         job: candidate.job,
         tasks,
-        zones: candidate.zones.clone(),
+        placed_by_zone: candidate.placed_by_zone.clone(),
     }
 }
--- a/src/engine/autoscaling/preemption.rs
+++ b/src/engine/autoscaling/preemption.rs
@@ -5,7 +5,7 @@
 use crate::constants;
 use crate::engine::Engine;
 use crate::model::{JobId, Machine, Resources, TaskId};
-use crate::placement::{Candidate, MachineSnapshot, preempt};
+use crate::placement::{Candidate, MachineSnapshot, preemption};
 
 /// Tasks to be stopped for one job.
 pub(super) struct Preemption {
@@ -40,7 +40,11 @@
         let machines = &leader.machines;
         let mut expected = machines.with_available(any, |machine| self.is_expected(machine));
         let mut up: Option<Vec<MachineSnapshot>> = None;
-        let running = preempt::running(self.jobs.iter(), |id| within_guarantee.contains(id), now);
+        let running = preemption::preemptible_tasks(
+            self.jobs.iter(),
+            |id| within_guarantee.contains(id),
+            now,
+        );
         for unplaced in &leader.autoscaling.demand {
             let mut candidates = candidates.iter();
             let Some(candidate) = candidates.find(|candidate| *candidate.id == unplaced.job) else {
@@ -49,8 +53,8 @@
             // What will soon be available is first come, first served: it is allocated before the
             // jobs after this one.
             let waiting = waiting_job(candidate, unplaced.tasks);
-            let has_room = autoscaler::has_room(&waiting, &mut expected);
-            if has_room || !self.may_preempt_for(candidate) {
+            let has_resources = autoscaler::try_allocate(&waiting, &mut expected);
+            if has_resources || !self.may_preempt_for(candidate) {
                 continue;
             }
             let up = up.get_or_insert_with(|| machines.with_available(any, Machine::accepts_tasks));
@@ -59,7 +63,7 @@
                 false => 1,
             };
             let job = candidate.id.clone();
-            let victims = preempt::victims(candidate, tasks, up, &running);
+            let victims = preemption::choose_victims(candidate, tasks, up, &running);
             if !victims.is_empty() {
                 plan.preemption = Some(Preemption { job, victims });
                 return plan;
--- a/src/engine/autoscaling/scale_out.rs
+++ b/src/engine/autoscaling/scale_out.rs
@@ -77,7 +77,7 @@
         let expected = expected.iter().map(|job| WaitingJob {
             job,
             tasks: job.spec.tasks,
-            zones: BTreeMap::new(),
+            placed_by_zone: BTreeMap::new(),
         });
         let waiting: Vec<WaitingJob<'_>> = waiting.chain(expected).collect();
         let requests = waiting.iter().map(|waiting| waiting.job.spec.request);
@@ -90,7 +90,7 @@
             .with_available(smallest_request, |machine| self.is_expected(machine));
         let refused = leader.autoscaling.refusals.at(self.context.now());
         let rents_spot = self.context.settings().operator.spot;
-        let offers = autoscaler::offers(types, &refused, rents_spot);
+        let offers = autoscaler::available_offers(types, &refused, rents_spot);
         let max_machines = self.max_machines_to_rent();
         autoscaler::scaling_plan(&waiting, snapshots, types, &offers, max_machines)
     }
--- a/src/engine/live_records.rs
+++ b/src/engine/live_records.rs
@@ -169,7 +169,7 @@
         let spec = JobSpec::from(&record.job);
         tracing::debug!(job = %id, class = %spec.class, tasks = spec.tasks, "job admitted");
         let ready_at = record.ready_at.unwrap_or(record.submitted_at);
-        self.arrival_history.note(ready_at, id, &spec);
+        self.arrival_history.record(ready_at, id, &spec);
         let now = self.context.now();
         let mut job = Job::new(spec, version, record.submitted_at, JobPhase::Open, now);
         job.ready_at = ready_at;
--- a/src/engine/machines/snapshot.rs
+++ b/src/engine/machines/snapshot.rs
@@ -6,7 +6,7 @@
     Job, Machine, MachineType, Placement, PlacementStage, Resources, TaskId, Timestamp,
     whole_millis,
 };
-use crate::placement::MachineSnapshot;
+use crate::placement::{MachineSnapshot, PendingFetch};
 use crate::wire::user::JobKind;
 use crate::wire::worker::TaskState;
 use std::sync::Arc;
@@ -120,12 +120,15 @@
 }
 
 /// GB of each image that are left to fetch, if all share the machine's rate.
-fn left_to_fetch(fetches: Vec<Fetch>, gb_per_s: f64, at: Timestamp) -> Vec<(Arc<str>, f64)> {
+fn left_to_fetch(fetches: Vec<Fetch>, gb_per_s: f64, at: Timestamp) -> Vec<PendingFetch> {
     let share = gb_per_s / fetches.len().max(1) as f64;
     let left = |fetch: Fetch| {
         let elapsed = whole_millis(at.saturating_since(fetch.begun_at));
         let fetched_gb = elapsed as f64 / 1000.0 * share;
-        (fetch.image, (fetch.image_gb - fetched_gb).max(0.0))
+        PendingFetch {
+            image: fetch.image,
+            remaining_gb: (fetch.image_gb - fetched_gb).max(0.0),
+        }
     };
     fetches.into_iter().map(left).collect()
 }
--- a/src/engine/scheduling.rs
+++ b/src/engine/scheduling.rs
@@ -3,7 +3,7 @@
 use super::Engine;
 use crate::constants;
 use crate::model::{Job, JobId, Resources};
-use crate::placement::{self, Bounds, Candidate, QuotaUsage, RoundPlan};
+use crate::placement::{self, Candidate, QuotaUsage, RoundLimits, RoundPlan};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -49,22 +49,22 @@
         if candidates.is_empty() {
             return RoundPlan::default();
         }
-        let bounds = self.round_bounds();
-        let min_available = placement::least_room(&candidates);
+        let limits = self.round_limits();
+        let min_available = placement::min_available(&candidates);
         let mut snapshots = leader.machines.schedulable(min_available);
-        placement::plan(&candidates, &mut snapshots, &mut self.quota_usage(), bounds)
+        placement::plan_round(&candidates, &mut snapshots, &mut self.quota_usage(), limits)
     }
 
     /// What a round may hold so that one transaction writes it.
-    fn round_bounds(&self) -> Bounds {
+    fn round_limits(&self) -> RoundLimits {
         let records = self.records_per_transaction();
         // Besides its jobs, a round's conditions name the leader's key and its own records.
         let conditions = CONDITIONS_PER_MUTATION * self.context.settings().cluster.state.txn_ops;
         let leader = self.leadership.leader();
-        Bounds {
+        RoundLimits {
             starts: records * self.starts_per_record(),
             jobs: conditions - 1 - records,
-            large_gang: leader.is_some_and(|leader| !leader.rounds.is_writing_several()),
+            allows_large_gang: leader.is_some_and(|leader| !leader.rounds.is_writing_several()),
         }
     }
 
@@ -85,11 +85,10 @@
         let mut usage = QuotaUsage::default();
         for team in &self.context.settings().cluster.teams {
             let name = team.name.as_str().into();
-            usage.limits.insert(name, team.limit());
+            usage.set_limit(name, team.limit());
         }
         for job in self.jobs.values() {
-            let used = usage.used.entry(job.spec.team.clone()).or_default();
-            *used += job.allocated();
+            usage.add_usage(&job.spec.team, job.allocated());
         }
         usage
     }
@@ -115,11 +114,11 @@
                     job,
                     within_guarantee: within_guarantee.contains(id),
                     starving: job.is_starving(self.context.unix_time()),
-                    zones: self.placed_tasks_by_zone(job)?,
+                    placed_by_zone: self.placed_tasks_by_zone(job)?,
                 })
             })
             .collect();
-        placement::order(&mut candidates);
+        placement::sort_by_service_order(&mut candidates);
         candidates
     }
 
