--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -22,7 +22,7 @@
 use crate::bounded_map::BoundedMap;
 use crate::constants;
 use crate::engine::{Command, EngineStatus, Reply};
-use crate::node::Commands;
+use crate::engine_queue::Commands;
 use crate::peer::Link;
 use crate::settings::Settings;
 use crate::store::{StoreClient, StoreError};
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -3,10 +3,10 @@
 use super::Api;
 use super::lookup::StoredJob;
 use super::responses::{Answer, answer, refuse, unavailable};
+use crate::clock::unix_time_ms;
 use crate::constants;
 use crate::engine::{self, Command, JobRecord, Reply};
 use crate::model::{JobId, JobSpec, MachineTypes};
-use crate::node::unix_time_ms;
 use crate::settings::Settings;
 use crate::store::{StoreCall, StoreError};
 use crate::wire::decode;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,9 +6,11 @@
 pub mod api;
 pub mod autoscaler;
 pub mod bounded_map;
+pub mod clock;
 pub mod cloud;
 pub mod constants;
 pub mod engine;
+pub mod engine_queue;
 pub mod http;
 pub mod model;
 pub mod node;
--- /dev/null
+++ b/src/node/driver.rs
@@ -0,0 +1,125 @@
+//! The loop that feeds the engine with commands and carries out its effects.
+
+use crate::clock::unix_time_ms;
+use crate::cloud::{CloudCall, CloudClient};
+use crate::constants;
+use crate::engine::{CallId, Command, Effect, Engine, EngineStatus, Reply, ReplyId};
+use crate::engine_queue::{Commands, QueuedCommand};
+use crate::store::{CallPriority, StoreCall, StoreClient};
+use crate::workers::WorkerClient;
+use std::collections::HashMap;
+use std::convert::Infallible;
+use std::sync::Arc;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::time::Instant;
+
+/// Senders of the replies that the engine still owes.
+type PendingReplies = HashMap<ReplyId, oneshot::Sender<Reply>>;
+
+/// Owns the engine's surroundings: the clients that make its calls, and the handle by which their
+/// outcomes come back.
+pub(super) struct Driver {
+    store: Arc<StoreClient>,
+    cloud: Arc<CloudClient>,
+    workers: WorkerClient,
+    commands: Commands,
+}
+
+impl Driver {
+    pub(super) fn new(
+        store: Arc<StoreClient>,
+        cloud: Arc<CloudClient>,
+        workers: WorkerClient,
+        commands: Commands,
+    ) -> Self {
+        Driver {
+            store,
+            cloud,
+            workers,
+            commands,
+        }
+    }
+
+    /// Runs the engine for ever, one step for each batch of commands, and at least one in each
+    /// [`constants::ENGINE_TICK`]. Publishes the engine's status after each step.
+    pub(super) async fn run(
+        self,
+        mut engine: Engine,
+        mut inputs: mpsc::Receiver<QueuedCommand>,
+        status: watch::Sender<EngineStatus>,
+    ) -> Infallible {
+        let started = Instant::now();
+        let mut pending_replies = PendingReplies::new();
+        let mut batch = Vec::with_capacity(constants::MAX_ENGINE_BATCH);
+        loop {
+            receive_batch(&mut inputs, &mut batch).await;
+            let mut commands = Vec::with_capacity(batch.len());
+            for queued in batch.drain(..) {
+                if let Some(reply) = queued.reply {
+                    pending_replies.insert(reply.id, reply.sender);
+                }
+                commands.push(queued.command);
+            }
+            let now = started.elapsed().as_millis() as u64;
+            for effect in engine.step(now, unix_time_ms(), commands) {
+                self.carry_out(effect, &mut pending_replies);
+            }
+            status.send_replace(engine.view());
+        }
+    }
+
+    fn carry_out(&self, effect: Effect, pending_replies: &mut PendingReplies) {
+        match effect {
+            Effect::Reply { to, reply } => {
+                if let Some(sender) = pending_replies.remove(&to) {
+                    // Fails if the caller has given up waiting.
+                    let _ = sender.send(reply);
+                }
+            }
+            Effect::CallStore {
+                call_id,
+                call,
+                urgent,
+            } => {
+                let priority = if urgent {
+                    CallPriority::Leadership
+                } else {
+                    CallPriority::Engine
+                };
+                self.call_store(call_id, call, priority);
+            }
+            Effect::CallCloud { call_id, call } => self.call_cloud(call_id, call),
+            Effect::SendCommands { address, commands } => self.workers.send(address, commands),
+        }
+    }
+
+    /// Calls the state service in a task of its own. The task is not joined: its end is the
+    /// command with the outcome, and the client bounds its time.
+    fn call_store(&self, call_id: CallId, call: StoreCall, priority: CallPriority) {
+        let store = self.store.clone();
+        let commands = self.commands.clone();
+        tokio::spawn(async move {
+            let result = store.call(&call, priority).await;
+            let outcome = Command::StoreCallCompleted { call_id, result };
+            commands.send(outcome).await;
+        });
+    }
+
+    /// Calls the cloud in a task of its own, which ends like that of [`Driver::call_store`].
+    fn call_cloud(&self, call_id: CallId, call: CloudCall) {
+        let cloud = self.cloud.clone();
+        let commands = self.commands.clone();
+        tokio::spawn(async move {
+            let result = cloud.call(&call).await;
+            let outcome = Command::CloudCallCompleted { call_id, result };
+            commands.send(outcome).await;
+        });
+    }
+}
+
+/// Waits for commands, for at most [`constants::ENGINE_TICK`], and takes those that have come.
+async fn receive_batch(inputs: &mut mpsc::Receiver<QueuedCommand>, batch: &mut Vec<QueuedCommand>) {
+    let receiving = inputs.recv_many(batch, constants::MAX_ENGINE_BATCH);
+    // After a timeout the batch is empty: `recv_many` is cancel-safe and loses no command.
+    let _ = tokio::time::timeout(constants::ENGINE_TICK, receiving).await;
+}
