--- a/benches/load/workers.rs
+++ b/benches/load/workers.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
-use umbervale::http::{Answer, HttpClient};
+use umbervale::http::{HttpClient, HttpResponse};
 use umbervale::wire::cloud as wire_cloud;
 use umbervale::wire::worker::{
     DirectCommands, Heartbeat, HeartbeatResponse, LeaderRedirect, Task, WorkerCommand,
@@ -185,7 +185,7 @@
 
     /// One worker, until its machine is taken back.
     async fn work(self: Arc<Self>, name: String, number: u64) {
-        let http = HttpClient::keeping(1);
+        let http = HttpClient::with_max_idle_connections(1);
         let Ok(address) = self.listen(&name).await else {
             return;
         };
@@ -226,7 +226,7 @@
     }
 
     /// Carries out the orders of an answer; whether there were any.
-    fn take_orders(&self, name: &str, answer: &Answer) -> bool {
+    fn take_orders(&self, name: &str, answer: &HttpResponse) -> bool {
         let Ok(commands) = decode::<HeartbeatResponse>(&answer.body) else {
             return false;
         };
@@ -243,7 +243,7 @@
     }
 
     /// The node that an answer names, or the next one.
-    fn other_node(&self, node: usize, answer: Option<&Answer>) -> usize {
+    fn other_node(&self, node: usize, answer: Option<&HttpResponse>) -> usize {
         let elsewhere = answer.and_then(|answer| decode::<LeaderRedirect>(&answer.body).ok());
         let named = elsewhere.and_then(|elsewhere| elsewhere.leader);
         let known = self
--- a/src/engine/tests/replay/mirror.rs
+++ b/src/engine/tests/replay/mirror.rs
@@ -5,7 +5,7 @@
 use crate::cloud::{CloudCall, CloudError, CloudReply};
 use crate::engine::{Command, Effect, Engine, EngineStatus, Reply};
 use crate::peer::Announcement;
-use crate::store::{StoreCall, StoreError, StoreReply};
+use crate::store::{NotExecutedCause, StoreCall, StoreError, StoreReply};
 use crate::wire::{decode, encode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -129,8 +129,8 @@
         Err(StoreError::Conflict(keys)) => Answer::Conflict(keys.clone()),
         Err(StoreError::NoLease) => Answer::NoLease,
         Err(StoreError::Compacted) => Answer::TooOld,
-        Err(StoreError::NotExecuted(reason)) => Answer::Refused(reason.clone()),
-        Err(StoreError::Unknown(reason)) => Answer::Unknown(reason.clone()),
+        Err(StoreError::NotExecuted(reason)) => Answer::Refused(reason.to_string()),
+        Err(StoreError::Unknown(reason)) => Answer::Unknown(reason.to_string()),
         Err(StoreError::Malformed(reason)) => Answer::Bad(reason.clone()),
     }
 }
@@ -149,8 +149,8 @@
         Answer::Conflict(keys) => Err(StoreError::Conflict(keys.clone())),
         Answer::NoLease => Err(StoreError::NoLease),
         Answer::TooOld => Err(StoreError::Compacted),
-        Answer::Refused(reason) => Err(StoreError::NotExecuted(reason.clone())),
-        Answer::Unknown(reason) => Err(StoreError::Unknown(reason.clone())),
+        Answer::Refused(reason) => Err(NotExecutedCause::Abandoned(reason.clone().into()).into()),
+        Answer::Unknown(reason) => Err(StoreError::Unknown(reason.as_str().into())),
         Answer::Bad(reason) => Err(StoreError::Malformed(reason.clone())),
     }
 }
@@ -163,7 +163,7 @@
         Ok(CloudReply::Returned) => Answer::Returned,
         Ok(CloudReply::MachinePage(list)) => Answer::Listed(body(list)),
         Err(CloudError::NoCapacity) => Answer::NoCapacity,
-        Err(CloudError::Failed(reason)) => Answer::Failed(reason.clone()),
+        Err(CloudError::Failed(reason)) => Answer::Failed(reason.to_string()),
     }
 }
 
@@ -175,7 +175,7 @@
         Answer::Returned => Ok(CloudReply::Returned),
         Answer::Listed(list) => Ok(CloudReply::MachinePage(message(list))),
         Answer::NoCapacity => Err(CloudError::NoCapacity),
-        Answer::Failed(reason) => Err(CloudError::Failed(reason.clone())),
+        Answer::Failed(reason) => Err(CloudError::Failed(reason.as_str().into())),
     }
 }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,97 +1,184 @@
-//! The one HTTP client, shared by the clients of state service, cloud and workers.
+//! The HTTP client that the clients of the state service, the cloud and the workers share.
 
 use crate::constants;
+use crate::wire::encode;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::{Method, Request};
 use hyper_util::client::legacy::{Client, connect::HttpConnector};
 use hyper_util::rt::{TokioExecutor, TokioTimer};
+use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// A response that was read to its end.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct HttpResponse {
+    /// The status code.
     pub status: u16,
+    /// The body.
     pub body: Bytes,
 }
 
-#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum CallError {
-    /// No connection: the request certainly was not sent.
+/// Why a request got no response.
+#[derive(Debug, thiserror::Error)]
+pub enum HttpError {
+    /// The request certainly was not sent.
     #[error("not sent: {0}")]
-    NotSent(String),
-    /// Sent, perhaps executed, no answer.
+    NotSent(#[source] SendError),
+    /// The request was sent and may have been executed.
     #[error("no answer: {0}")]
-    NoAnswer(String),
-    /// Executed, but the answer is longer than what is read of one.
+    NoResponse(#[source] ResponseError),
+    /// The request was executed, but the response is longer than
+    /// [`constants::MAX_RESPONSE_BYTES`].
     #[error("answer over {} bytes", constants::MAX_RESPONSE_BYTES)]
     TooLong,
 }
 
-#[derive(Clone)]
+/// Why a request was not sent.
+#[derive(Debug, thiserror::Error)]
+pub enum SendError {
+    /// The request can't be built.
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    /// No connection could be set up.
+    #[error(transparent)]
+    Connect(#[from] hyper_util::client::legacy::Error),
+}
+
+/// Why a request that was sent got no response.
+#[derive(Debug, thiserror::Error)]
+pub enum ResponseError {
+    /// The connection failed before the head of the response came.
+    #[error(transparent)]
+    Head(hyper_util::client::legacy::Error),
+    /// The connection failed before the end of the body came.
+    #[error("{0}")]
+    Body(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// The response did not come in time.
+    #[error("timed out")]
+    Timeout,
+}
+
+/// The parts of a request that depend on what is asked.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct HttpRequest {
+    /// The method.
+    pub(crate) method: Method,
+    /// The path with its query.
+    pub(crate) path: String,
+    /// The encoded body, if there is one.
+    pub(crate) body: Option<Vec<u8>>,
+}
+
+impl HttpRequest {
+    /// A GET request.
+    pub(crate) fn get(path: String) -> Self {
+        Self::without_body(Method::GET, path)
+    }
+
+    /// A DELETE request.
+    pub(crate) fn delete(path: String) -> Self {
+        Self::without_body(Method::DELETE, path)
+    }
+
+    /// A POST request without a body.
+    pub(crate) fn post_empty(path: String) -> Self {
+        Self::without_body(Method::POST, path)
+    }
+
+    /// A POST request with a message as its body.
+    pub(crate) fn post<T: Serialize>(path: &str, message: &T) -> Self {
+        HttpRequest {
+            method: Method::POST,
+            path: path.to_owned(),
+            body: Some(encode(message)),
+        }
+    }
+
+    fn without_body(method: Method, path: String) -> Self {
+        HttpRequest {
+            method,
+            path,
+            body: None,
+        }
+    }
+}
+
+/// An HTTP client with a pool of connections, which its clones share.
+#[derive(Debug, Clone)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Default for HttpClient {
     fn default() -> Self {
-        HttpClient::keeping(constants::MAX_IDLE_CONNECTIONS)
+        HttpClient::with_max_idle_connections(constants::MAX_IDLE_CONNECTIONS)
     }
 }
 
 impl HttpClient {
-    /// Keeps up to that many idle connections to each address.
-    pub fn keeping(idle: usize) -> Self {
+    /// A client that keeps up to `max_idle` idle connections to each address.
+    pub fn with_max_idle_connections(max_idle: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(constants::CONNECT_TIMEOUT));
         let inner = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(constants::IDLE_CONNECTION_TIMEOUT)
-            .pool_max_idle_per_host(idle)
+            .pool_max_idle_per_host(max_idle)
             .build(connector);
         HttpClient { inner }
     }
 
-    /// Sends one request and reads its whole answer within `timeout`.
+    /// Sends one request and reads its whole response within `timeout`.
+    ///
+    /// # Errors
+    ///
+    /// If there is no whole response by then; the error tells whether the request may have been
+    /// executed.
     pub async fn call(
         &self,
         method: Method,
-        addr: SocketAddr,
+        address: SocketAddr,
         path: &str,
         body: Option<Vec<u8>>,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, HttpError> {
         let mut request = Request::builder()
             .method(method)
-            .uri(format!("http://{addr}{path}"));
+            .uri(format!("http://{address}{path}"));
         if body.is_some() {
             request = request.header("content-type", "application/msgpack");
         }
         let request = request
             .body(Full::new(Bytes::from(body.unwrap_or_default())))
-            .map_err(|e| CallError::NotSent(e.to_string()))?;
-        let exchange = async {
-            let answer = self.inner.request(request).await.map_err(|e| {
-                if e.is_connect() {
-                    CallError::NotSent(e.to_string())
+            .map_err(|error| HttpError::NotSent(SendError::Request(error)))?;
+        tokio::time::timeout(timeout, self.exchange(request))
+            .await
+            .unwrap_or(Err(HttpError::NoResponse(ResponseError::Timeout)))
+    }
+
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse, HttpError> {
+        let response = self.inner.request(request).await.map_err(|error| {
+            if error.is_connect() {
+                HttpError::NotSent(SendError::Connect(error))
+            } else {
+                HttpError::NoResponse(ResponseError::Head(error))
+            }
+        })?;
+        let status = response.status().as_u16();
+        let body = Limited::new(response.into_body(), constants::MAX_RESPONSE_BYTES)
+            .collect()
+            .await
+            .map_err(|error| {
+                if error.is::<LengthLimitError>() {
+                    HttpError::TooLong
                 } else {
-                    CallError::NoAnswer(e.to_string())
+                    HttpError::NoResponse(ResponseError::Body(error))
                 }
-            })?;
-            let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), constants::MAX_RESPONSE_BYTES)
-                .collect()
-                .await
-                .map_err(|e| match e.is::<LengthLimitError>() {
-                    true => CallError::TooLong,
-                    false => CallError::NoAnswer(e.to_string()),
-                })?
-                .to_bytes();
-            Ok(Answer { status, body })
-        };
-        tokio::time::timeout(timeout, exchange)
-            .await
-            .unwrap_or_else(|_| Err(CallError::NoAnswer("timed out".into())))
+            })?
+            .to_bytes();
+        Ok(HttpResponse { status, body })
     }
 }
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -1,54 +1,53 @@
-//! Token buckets for calls to the state service and the cloud.
+//! Rate limits for calls to the state service and the cloud.
 
-use std::time::Duration;
+mod token_bucket;
 
-/// Refills at `rate` tokens a second up to `full`; begins with one second's worth, since a
-/// predecessor may just have used up the rest.
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use token_bucket::{InsufficientTokens, TokenBucket};
+use tokio::time::Instant;
+
+/// A token bucket with its clock, shared by concurrent calls.
 #[derive(Debug)]
-pub struct TokenBucket {
-    rate: f64,
-    full: f64,
-    tokens: f64,
-    filled: Duration,
+pub struct RateLimiter {
+    bucket: Mutex<TokenBucket>,
+    started: Instant,
 }
 
-impl TokenBucket {
-    /// Holds as many seconds' worth as the limited service allows at once.
-    pub fn new(rate: f64, seconds: f64) -> Self {
-        TokenBucket {
-            rate,
-            full: (rate * seconds).max(1.0),
-            tokens: rate,
-            filled: Duration::ZERO,
+impl RateLimiter {
+    /// Allows `rate` tokens a second, and at once as many as come in `burst_s` seconds.
+    pub fn new(rate: f64, burst_s: f64) -> Self {
+        RateLimiter {
+            bucket: Mutex::new(TokenBucket::new(rate, burst_s)),
+            started: Instant::now(),
         }
     }
 
-    fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
-        self.tokens = (self.tokens + passed * self.rate).min(self.full);
+    /// Takes `amount` tokens, waiting until they are there beside the share `reserve` of a full
+    /// bucket.
+    pub async fn acquire(&self, amount: f64, reserve: f64) {
+        while let Err(InsufficientTokens { retry_after }) = self.take(amount, reserve) {
+            tokio::time::sleep(retry_after).await;
+        }
     }
 
-    /// Takes `amount`, leaving at least the share `reserve` of a full bucket; otherwise says
-    /// how long to wait. Nobody waits for more than a full bucket holds.
-    pub fn take(&mut self, amount: f64, reserve: f64, now: Duration) -> Option<Duration> {
-        self.refill(now);
-        let need = (amount + reserve * self.full).min(self.full);
-        if self.tokens >= need {
-            self.tokens -= amount;
-            None
-        } else {
-            let wait = (need - self.tokens) / self.rate;
-            Some(Duration::from_secs_f64(wait.max(0.001)))
-        }
+    /// Takes `amount` tokens if they are there beside the share `reserve` of a full bucket;
+    /// returns whether it did.
+    pub fn try_acquire(&self, amount: f64, reserve: f64) -> bool {
+        self.take(amount, reserve).is_ok()
     }
 
-    /// Takes `amount` whatever is left: later calls pay for it.
-    pub fn force(&mut self, amount: f64, now: Duration) {
-        self.refill(now);
-        self.tokens -= amount;
+    /// Takes `amount` tokens even if they are not there; later calls wait the longer.
+    pub fn force(&self, amount: f64) {
+        let mut bucket = self.bucket();
+        bucket.force(amount, self.started.elapsed());
     }
-}
 
-#[cfg(test)]
-mod tests;
+    fn take(&self, amount: f64, reserve: f64) -> Result<(), InsufficientTokens> {
+        let mut bucket = self.bucket();
+        bucket.take(amount, reserve, self.started.elapsed())
+    }
+
+    fn bucket(&self) -> MutexGuard<'_, TokenBucket> {
+        self.bucket.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- a/src/rate_limit/tests.rs
+++ b/src/rate_limit/token_bucket/tests.rs
@@ -5,21 +5,21 @@
     let at = Duration::from_secs;
     let mut bucket = TokenBucket::new(10.0, 1.0);
     for _ in 0..7 {
-        assert_eq!(bucket.take(1.0, 0.25, at(0)), None);
+        assert_eq!(bucket.take(1.0, 0.25, at(0)), Ok(()));
     }
     assert!(
-        bucket.take(1.0, 0.25, at(0)).is_some(),
+        bucket.take(1.0, 0.25, at(0)).is_err(),
         "the reserve is not for users"
     );
-    assert_eq!(bucket.take(3.0, 0.0, at(0)), None);
-    let wait = bucket.take(1.0, 0.0, at(0)).unwrap();
-    assert!((wait.as_secs_f64() - 0.1).abs() < 0.01);
+    assert_eq!(bucket.take(3.0, 0.0, at(0)), Ok(()));
+    let refusal = bucket.take(1.0, 0.0, at(0)).unwrap_err();
+    assert!((refusal.retry_after.as_secs_f64() - 0.1).abs() < 0.01);
     bucket.force(1.0, at(0));
-    assert!(bucket.take(1.0, 0.0, Duration::from_millis(150)).is_some());
-    assert_eq!(bucket.take(1.0, 0.0, Duration::from_millis(201)), None);
+    assert!(bucket.take(1.0, 0.0, Duration::from_millis(150)).is_err());
+    assert_eq!(bucket.take(1.0, 0.0, Duration::from_millis(201)), Ok(()));
     assert_eq!(
         bucket.take(50.0, 0.0, at(9)),
-        None,
+        Ok(()),
         "a whole bucket is enough for anything"
     );
 }
--- /dev/null
+++ b/src/store/error.rs
@@ -0,0 +1,74 @@
+//! Errors of calls to the state service, by what they tell of the call's execution.
+
+use crate::http::{HttpError, SendError};
+use crate::wire::DecodeError;
+use std::borrow::Cow;
+
+/// Why a call to the state service failed.
+#[derive(Debug, thiserror::Error)]
+pub enum StoreError {
+    /// Comparisons failed on these keys: not executed.
+    #[error("conflict on {0:?}")]
+    Conflict(Vec<String>),
+    /// The lease has expired or was revoked.
+    #[error("no such lease")]
+    NoLease,
+    /// The watch asks for changes that are no longer kept, or for more than is read at once.
+    #[error("changes no longer kept, or too many")]
+    Compacted,
+    /// Refused, certainly not executed.
+    #[error("not executed: {0}")]
+    NotExecuted(#[from] NotExecutedCause),
+    /// No response: the call may have been executed, or may still be.
+    #[error("no answer: {0}")]
+    Unknown(#[from] UnknownOutcomeCause),
+    /// The service calls the request malformed, or its response does not fit the call. The text
+    /// has what the service sent.
+    #[error("bad request or answer: {0}")]
+    Malformed(String),
+}
+
+/// Why a call was certainly not executed.
+#[derive(Debug, thiserror::Error)]
+pub enum NotExecutedCause {
+    /// The rate limit leaves no token for a user's call.
+    #[error("no token left for users")]
+    NoTokens,
+    /// The service refused the call with this status code.
+    #[error("status {0}")]
+    Status(u16),
+    /// The request was not sent.
+    #[error(transparent)]
+    NotSent(#[from] SendError),
+    /// The caller did not make the call, for the reason that it states.
+    #[error("{0}")]
+    Abandoned(Cow<'static, str>),
+}
+
+impl From<&'static str> for NotExecutedCause {
+    fn from(reason: &'static str) -> Self {
+        NotExecutedCause::Abandoned(reason.into())
+    }
+}
+
+/// Why it is unknown whether a call was executed.
+#[derive(Debug, thiserror::Error)]
+pub enum UnknownOutcomeCause {
+    /// The request got no response.
+    #[error(transparent)]
+    Http(#[from] HttpError),
+    /// The response can't be decoded.
+    #[error("unreadable answer: {0}")]
+    Undecodable(#[from] DecodeError),
+    /// A failure that a simulated service reports.
+    #[cfg(test)]
+    #[error("{0}")]
+    Simulated(String),
+}
+
+#[cfg(test)]
+impl From<&str> for UnknownOutcomeCause {
+    fn from(text: &str) -> Self {
+        UnknownOutcomeCause::Simulated(text.to_owned())
+    }
+}
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -2,8 +2,13 @@
 //! them out.
 
 mod client;
+mod error;
+mod limits;
+mod request;
+mod response;
 
 pub use client::StoreClient;
+pub use error::{NotExecutedCause, StoreError, UnknownOutcomeCause};
 
 use crate::wire::store::{Changes, Item, Listing, Transaction};
 
@@ -90,29 +95,6 @@
     },
 }
 
-/// Why a call to the state service failed.
-#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum StoreError {
-    /// Comparisons failed on these keys: not executed.
-    #[error("conflict on {0:?}")]
-    Conflict(Vec<String>),
-    /// The lease has expired or was revoked.
-    #[error("no such lease")]
-    NoLease,
-    /// The watch asks for changes that are no longer kept, or for more than is read at once.
-    #[error("changes no longer kept, or too many")]
-    Compacted,
-    /// Refused, certainly not executed (429, 503, or no token of our own).
-    #[error("not executed: {0}")]
-    NotExecuted(String),
-    /// No response: the call may have been executed, or may still be.
-    #[error("no answer: {0}")]
-    Unknown(String),
-    /// The service calls the request malformed, or its response can't be read.
-    #[error("bad request or answer: {0}")]
-    Malformed(String),
-}
-
 /// How a call is treated when rate-limit tokens are short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPriority {
--- /dev/null
+++ b/src/store/request.rs
@@ -0,0 +1,46 @@
+//! The HTTP request of each call, as the platform's protocol defines it.
+
+use super::StoreCall;
+use crate::constants;
+use crate::http::HttpRequest;
+use crate::wire::store::GrantLeaseRequest;
+use std::time::Duration;
+
+/// The request that makes the call.
+pub(super) fn request(call: &StoreCall) -> HttpRequest {
+    match call {
+        StoreCall::Get { key } => HttpRequest::get(format!("/store/{key}")),
+        StoreCall::List { prefix, after } => list(prefix, after.as_deref()),
+        StoreCall::Commit(transaction) => HttpRequest::post("/commit", transaction),
+        StoreCall::GrantLease { ttl_ms } => {
+            HttpRequest::post("/holds", &GrantLeaseRequest { ttl_ms: *ttl_ms })
+        }
+        StoreCall::KeepAlive { lease } => HttpRequest::post_empty(format!("/holds/{lease}/touch")),
+        StoreCall::RevokeLease { lease } => HttpRequest::delete(format!("/holds/{lease}")),
+        StoreCall::Watch {
+            prefix,
+            after,
+            wait_ms,
+        } => HttpRequest::get(format!(
+            "/changes?under={prefix}&after={after}&block_ms={wait_ms}"
+        )),
+    }
+}
+
+/// How long the response may take. A watch is answered late on purpose.
+pub(super) fn timeout(call: &StoreCall) -> Duration {
+    match call {
+        StoreCall::Watch { wait_ms, .. } => {
+            Duration::from_millis(*wait_ms) + constants::WATCH_SLACK
+        }
+        _ => constants::STORE_TIMEOUT,
+    }
+}
+
+fn list(prefix: &str, after: Option<&str>) -> HttpRequest {
+    let after = after.map_or(String::new(), |key| format!("&after={key}"));
+    HttpRequest::get(format!(
+        "/store?under={prefix}{after}&page={}",
+        constants::STORE_LIST_PAGE_ITEMS
+    ))
+}
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -61,7 +61,7 @@
         WorkerClient {
             // Kept connections to hundreds of workers would use up the sockets, and each worker is
             // sent something every few seconds at most.
-            http: HttpClient::keeping(0),
+            http: HttpClient::with_max_idle_connections(0),
             queue: Arc::default(),
         }
     }
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -14,7 +14,7 @@
 use support::{StateService, ready_node_where};
 use tokio::net::TcpListener;
 use umbervale::constants::MAX_USER_CALLS;
-use umbervale::http::{Answer, HttpClient};
+use umbervale::http::{HttpClient, HttpResponse};
 use umbervale::model::FencingToken;
 use umbervale::peer::{Message, read_frame, write_frame};
 use umbervale::wire::worker::{Heartbeat, HeartbeatResponse, LeaderRedirect};
@@ -29,7 +29,7 @@
 }
 
 impl Client {
-    async fn send(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> Answer {
+    async fn send(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> HttpResponse {
         self.http
             .call(method, self.front, path, body, Duration::from_secs(5))
             .await
@@ -320,7 +320,7 @@
 /// Reports of one worker, on its connection while it may stay open, until two in a row were answered
 /// with orders; how long that took. The connection stays open with the client, if it may.
 async fn work(front: SocketAddr, machine: String) -> (Duration, HttpClient) {
-    let http = HttpClient::keeping(1);
+    let http = HttpClient::with_max_idle_connections(1);
     let mut report = report_of(&machine);
     let begun = std::time::Instant::now();
     let mut answered = 0;
--- a/tests/pipelines_http.rs
+++ b/tests/pipelines_http.rs
@@ -14,7 +14,7 @@
 use support::{PATIENCE, StateService, map, ready_node_where, settings};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use umbervale::http::{Answer, HttpClient};
+use umbervale::http::{HttpClient, HttpResponse};
 use umbervale::wire::encode;
 
 struct User {
@@ -23,7 +23,7 @@
 }
 
 impl User {
-    async fn send(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> Answer {
+    async fn send(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> HttpResponse {
         let answer = self.http.call(method, self.front, path, body, PATIENCE);
         answer.await.unwrap()
     }
@@ -47,7 +47,7 @@
     }
 }
 
-fn state_in(answer: &Answer) -> String {
+fn state_in(answer: &HttpResponse) -> String {
     let body: Value = rmp_serde::from_slice(&answer.body).unwrap();
     let state = body.as_map().and_then(|fields| {
         let state = fields
