--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -1,40 +1,42 @@
 use super::*;
-use tokio::net::TcpListener;
+use crate::constants;
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpStream};
 
-async fn pair() -> (TcpStream, TcpStream) {
+async fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let addr = listener.local_addr().unwrap();
-    let (a, b) = tokio::join!(TcpStream::connect(addr), listener.accept());
-    (a.unwrap(), b.unwrap().0)
+    let address = listener.local_addr().unwrap();
+    let (near, far) = tokio::join!(TcpStream::connect(address), listener.accept());
+    (near.unwrap(), far.unwrap().0)
 }
 
 #[tokio::test]
 async fn frames_are_versioned_and_bounded() {
-    let (mut a, mut b) = pair().await;
-    let said = Message::Announce(Announcement {
+    let (mut near, mut far) = connected_pair().await;
+    let announcement = Message::Announce(Announcement {
         node: "n1".into(),
         term: 7,
         store_reachable: true,
     });
-    write_frame(&mut a, &said).await.unwrap();
-    assert_eq!(read_frame(&mut b).await.unwrap(), said);
-    a.write_all(&[0, 0, 0, 2, constants::PEER_VERSION + 1, 0])
+    write_frame(&mut near, &announcement).await.unwrap();
+    assert_eq!(read_frame(&mut far).await.unwrap(), announcement);
+    near.write_all(&[0, 0, 0, 2, constants::PEER_VERSION + 1, 0])
         .await
         .unwrap();
     assert!(matches!(
-        read_frame(&mut b).await,
+        read_frame(&mut far).await,
         Err(PeerError::Version(_))
     ));
-    a.write_all(&[0, 0, 0, 2, constants::PEER_VERSION, 99])
+    near.write_all(&[0, 0, 0, 2, constants::PEER_VERSION, 99])
         .await
         .unwrap();
     assert!(matches!(
-        read_frame(&mut b).await,
+        read_frame(&mut far).await,
         Err(PeerError::Decode(_))
     ));
-    a.write_all(&u32::MAX.to_be_bytes()).await.unwrap();
+    near.write_all(&u32::MAX.to_be_bytes()).await.unwrap();
     assert!(matches!(
-        read_frame(&mut b).await,
+        read_frame(&mut far).await,
         Err(PeerError::Length(_))
     ));
 }
@@ -43,7 +45,7 @@
 #[test]
 fn frames_of_the_production_version_are_read_and_written() {
     assert_eq!(constants::PEER_VERSION, 1, "the production version's");
-    let said = Message::Announce(Announcement {
+    let announcement = Message::Announce(Announcement {
         node: "n1".into(),
         term: 7,
         store_reachable: true,
@@ -61,7 +63,7 @@
         };
     }
     for (bytes, message) in [
-        (production!("announce"), said),
+        (production!("announce"), announcement),
         (production!("count"), Message::Count { job: job() }),
         (production!("counts"), Message::Counts { done, running }),
         (production!("nothing"), Message::Nothing),
