--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -65,7 +65,7 @@
 /// The request that makes the call, as the platform's protocol defines it.
 fn request(call: &CloudCall) -> HttpRequest {
     match call {
-        CloudCall::ListMachineTypes => HttpRequest::get("/flavors".into()),
+        CloudCall::ListMachineTypes => HttpRequest::get("/flavors"),
         CloudCall::Rent(rental) => HttpRequest::post("/machines", rental),
         CloudCall::Return(machines) => {
             let machines = machines.clone();
--- a/src/http.rs
+++ b/src/http.rs
@@ -8,6 +8,7 @@
 use hyper_util::client::legacy::{Client, connect::HttpConnector};
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use serde::Serialize;
+use std::borrow::Cow;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -66,40 +67,40 @@
     /// The method.
     pub(crate) method: Method,
     /// The path with its query.
-    pub(crate) path: String,
+    pub(crate) path: Cow<'static, str>,
     /// The encoded body, if there is one.
     pub(crate) body: Option<Vec<u8>>,
 }
 
 impl HttpRequest {
     /// A GET request.
-    pub(crate) fn get(path: String) -> Self {
+    pub(crate) fn get(path: impl Into<Cow<'static, str>>) -> Self {
         Self::without_body(Method::GET, path)
     }
 
     /// A DELETE request.
-    pub(crate) fn delete(path: String) -> Self {
+    pub(crate) fn delete(path: impl Into<Cow<'static, str>>) -> Self {
         Self::without_body(Method::DELETE, path)
     }
 
     /// A POST request without a body.
-    pub(crate) fn post_empty(path: String) -> Self {
+    pub(crate) fn post_empty(path: impl Into<Cow<'static, str>>) -> Self {
         Self::without_body(Method::POST, path)
     }
 
     /// A POST request with a message as its body.
-    pub(crate) fn post<T: Serialize>(path: &str, message: &T) -> Self {
+    pub(crate) fn post<T: Serialize>(path: &'static str, message: &T) -> Self {
         HttpRequest {
             method: Method::POST,
-            path: path.to_owned(),
+            path: path.into(),
             body: Some(encode(message)),
         }
     }
 
-    fn without_body(method: Method, path: String) -> Self {
+    fn without_body(method: Method, path: impl Into<Cow<'static, str>>) -> Self {
         HttpRequest {
             method,
-            path,
+            path: path.into(),
             body: None,
         }
     }
--- a/src/rate_limit/token_bucket/tests.rs
+++ b/src/rate_limit/token_bucket/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn users_leave_a_reserve_and_leases_never_wait() {
+fn calls_leave_the_reserve_and_forced_calls_never_wait() {
     let at = Duration::from_secs;
     let mut bucket = TokenBucket::new(10.0, 1.0);
     for _ in 0..7 {
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -32,6 +32,10 @@
 }
 
 /// Decodes one MessagePack map that fills the whole body.
+///
+/// # Errors
+///
+/// If the body is something else, or not of the message's form.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     // Serde would read a struct from a list as well, which the protocol does not allow.
     match body.first() {
@@ -47,8 +51,8 @@
     Ok(message)
 }
 
-/// Whether nothing is left to read. The deserializer does not tell how much it has read; but a boolean
-/// consists of its marker alone, so that no marker can be read for it only at the end.
+/// Whether nothing is left to read. The deserializer does not tell how much it has read; but a
+/// boolean consists of its marker alone, so reading one fails for want of a marker only at the end.
 fn is_at_end<'de>(deserializer: impl Deserializer<'de, Error = rmp_serde::decode::Error>) -> bool {
     matches!(
         bool::deserialize(deserializer),
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// How bodies were decoded before they were read in place: each text is copied out of a reader.
+/// Decodes a body with a copy of each text, the slower way to which [`decode`] is compared.
 fn decode_by_copying<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     if !matches!(body.first(), Some(0x80..=0x8f | 0xde | 0xdf)) {
         return None;
@@ -25,17 +25,15 @@
     }
 }
 
-/// Reading in place tells the same as reading by copying, of whole bodies and of damaged ones.
-#[test]
-fn bodies_read_in_place_are_the_same_as_copied_ones() {
-    let task = |n: u64| worker::Task {
-        task: format!("run-{n}/{}", n % 7),
-        attempt: n,
+fn heartbeat() -> worker::Heartbeat {
+    let task = |index: u64| worker::Task {
+        task: format!("run-{index}/{}", index % 7),
+        attempt: index,
         state: worker::TaskState::Exited,
         exit_reason: Some(worker::ExitReason::Completed),
-        checkpoint_saved: n.is_multiple_of(2).then_some(true),
+        checkpoint_saved: index.is_multiple_of(2).then_some(true),
     };
-    let heartbeat = worker::Heartbeat {
+    worker::Heartbeat {
         machine: "host-000231".into(),
         address: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
@@ -46,33 +44,44 @@
         fencing_token: 1 << 40,
         preemption_notice_s: Some(0.5),
         tasks: (0..6).map(task).collect(),
-    };
-    let item = store::Item {
+    }
+}
+
+fn item() -> store::Item {
+    store::Item {
         key: "live/job/run-1".into(),
         value: rmpv::Value::Array(vec!["text".into(), 1.into(), rmpv::Value::Nil]),
         version: 7,
-    };
+    }
+}
+
+/// Damages the encoded message, and checks that reading in place tells the same as reading by
+/// copying. Returns whether the body could be read.
+fn assert_decoded_alike<T>(message: &T, random: &mut SmallRng, context: &str) -> bool
+where
+    T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
+{
+    let mut body = encode(message);
+    damage(&mut body, random);
+    let copied = decode_by_copying::<T>(&body);
+    assert_eq!(decode::<T>(&body).ok(), copied, "{context}");
+    copied.is_some()
+}
+
+/// Whole bodies and damaged ones.
+#[test]
+fn bodies_read_in_place_are_the_same_as_copied_ones() {
+    let heartbeat = heartbeat();
+    let item = item();
     let seed = 7;
     let mut random = SmallRng::seed_from_u64(seed);
     let (mut read, mut refused) = (0, 0);
     for round in 0..20_000 {
-        let mut body = encode(&heartbeat);
-        damage(&mut body, &mut random);
-        let copied = decode_by_copying::<worker::Heartbeat>(&body);
-        assert_eq!(
-            decode::<worker::Heartbeat>(&body).ok(),
-            copied,
-            "seed {seed}, round {round}"
-        );
-        read += usize::from(copied.is_some());
-        refused += usize::from(copied.is_none());
-        let mut body = encode(&item);
-        damage(&mut body, &mut random);
-        assert_eq!(
-            decode::<store::Item>(&body).ok(),
-            decode_by_copying(&body),
-            "seed {seed}, round {round}"
-        );
+        let context = format!("seed {seed}, round {round}");
+        let was_read = assert_decoded_alike(&heartbeat, &mut random, &context);
+        read += usize::from(was_read);
+        refused += usize::from(!was_read);
+        assert_decoded_alike(&item, &mut random, &context);
     }
     assert!(
         read > 1_000 && refused > 1_000,
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -163,6 +163,10 @@
 
 impl JobSubmission {
     /// Checks everything that can be told from the submission alone.
+    ///
+    /// # Errors
+    ///
+    /// The first thing that is wrong.
     pub fn validate(&self) -> Result<(), InvalidSubmission> {
         if !is_valid_id(&self.id) {
             return Err(InvalidSubmission::JobId);
@@ -276,4 +280,4 @@
 }
 
 #[cfg(test)]
-pub mod tests;
+pub(crate) mod tests;
--- a/src/wire/user/tests.rs
+++ b/src/wire/user/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
+use crate::wire::{decode, encode};
 
-pub fn job(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
+/// A valid submission with these values, and usual ones for all other fields.
+pub(crate) fn job(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
     JobSubmission {
         id: id.into(),
         class: "train".into(),
@@ -36,40 +38,37 @@
         job("run-1", JobKind::Array, 100_001),
     ];
     for cpus in [f64::NAN, f64::INFINITY, -1.0] {
-        let mut one = job("run-1", JobKind::Array, 1);
-        one.cpus = cpus;
-        bad.push(one);
+        let mut submission = job("run-1", JobKind::Array, 1);
+        submission.cpus = cpus;
+        bad.push(submission);
     }
     let mut long = job("run-1", JobKind::Array, 1);
     long.machine_types = Some(vec!["x".repeat(3000)]);
     bad.push(long);
-    for one in bad {
-        assert!(one.validate().is_err(), "{one:?}");
+    for submission in bad {
+        assert!(submission.validate().is_err(), "{submission:?}");
+    }
+}
+
+/// Sets a field of the map, named as on the wire.
+fn set_field(message: &mut rmpv::Value, name: &str, number: i64) {
+    let rmpv::Value::Map(fields) = message else {
+        panic!("not a map");
+    };
+    for (key, value) in fields {
+        if key.as_str() == Some(name) {
+            *value = number.into();
+        }
     }
 }
 
 #[test]
 fn numbers_may_be_whole_or_not_but_counts_are_whole() {
     let good = job("run-1", JobKind::Gang, 2);
-    let mut value: rmpv::Value = rmp_serde::from_slice(&crate::wire::encode(&good)).unwrap();
-    let map = match &mut value {
-        rmpv::Value::Map(m) => m,
-        _ => panic!("not a map"),
-    };
-    let field = |map: &mut Vec<(rmpv::Value, rmpv::Value)>, name: &str, to: rmpv::Value| {
-        for (k, v) in map.iter_mut() {
-            if k.as_str() == Some(name) {
-                *v = to.clone();
-            }
-        }
-    };
-    field(map, "vcpus", rmpv::Value::from(4));
-    let read: JobSubmission = crate::wire::decode(&crate::wire::encode(&value)).unwrap();
+    let mut message: rmpv::Value = rmp_serde::from_slice(&encode(&good)).unwrap();
+    set_field(&mut message, "vcpus", 4);
+    let read: JobSubmission = decode(&encode(&message)).unwrap();
     assert_eq!(read.cpus, 4.0);
-    let map = match &mut value {
-        rmpv::Value::Map(m) => m,
-        _ => panic!("not a map"),
-    };
-    field(map, "pieces", rmpv::Value::from(-2));
-    assert!(crate::wire::decode::<JobSubmission>(&crate::wire::encode(&value)).is_err());
+    set_field(&mut message, "pieces", -2);
+    assert!(decode::<JobSubmission>(&encode(&message)).is_err());
 }
