--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -118,3 +118,6 @@
     let status = response.status;
     CloudFailure::Status { status, reason }.into()
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/engine_queue.rs
+++ b/src/engine_queue.rs
@@ -69,3 +69,6 @@
         let _ = self.queue.send(queued).await;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! A running controller node: binds the listeners, starts the node's tasks and serves for ever.
 //!
-//! [`driver`] owns the engine and carries out its effects; [`peers`] exchanges announcements with
-//! the other nodes; [`crate::api`] serves users and workers.
+//! `driver` owns the engine and carries out its effects; `peers` exchanges announcements with the
+//! other nodes; [`crate::api`] serves users and workers.
 
 mod driver;
 mod peers;
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -72,3 +72,6 @@
         UnknownOutcomeCause::Simulated(text.to_owned())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/store/error/tests.rs
@@ -0,0 +1,49 @@
+use super::*;
+use crate::http::ResponseError;
+
+/// The texts stand in log lines.
+#[test]
+fn errors_print_what_failed_and_why() {
+    let timeout = HttpError::NoResponse(ResponseError::Timeout);
+    let undecodable = UnknownOutcomeCause::Undecodable(DecodeError::NotAMap);
+    let cases: [(StoreError, &str); 7] = [
+        (
+            StoreError::Conflict(vec!["live/lead".into()]),
+            "conflict on [\"live/lead\"]",
+        ),
+        (
+            NotExecutedCause::NoTokens.into(),
+            "not executed: no token left for users",
+        ),
+        (
+            NotExecutedCause::Status(503).into(),
+            "not executed: status 503",
+        ),
+        (
+            NotExecutedCause::from("changing").into(),
+            "not executed: changing",
+        ),
+        (
+            UnknownOutcomeCause::from(timeout).into(),
+            "no answer: no answer: timed out",
+        ),
+        (
+            undecodable.into(),
+            "no answer: unreadable answer: body is not a MessagePack map",
+        ),
+        (
+            StoreError::Malformed("status 400: no".into()),
+            "bad request or answer: status 400: no",
+        ),
+    ];
+    for (error, text) in cases {
+        assert_eq!(error.to_string(), text);
+    }
+}
+
+#[test]
+fn errors_name_their_cause() {
+    let error = StoreError::from(NotExecutedCause::Status(429));
+    let cause = std::error::Error::source(&error).unwrap();
+    assert_eq!(cause.to_string(), "status 429");
+}
--- a/src/store/limits.rs
+++ b/src/store/limits.rs
@@ -83,3 +83,6 @@
     }
     Ok(())
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/store/request.rs
+++ b/src/store/request.rs
@@ -44,3 +44,6 @@
         constants::STORE_LIST_PAGE_ITEMS
     ))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/store/response.rs
+++ b/src/store/response.rs
@@ -73,3 +73,6 @@
     let text: String = text.chars().take(MAX_SHOWN_CHARACTERS).collect();
     StoreError::Malformed(format!("status {status}: {text}"))
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/store/response/tests.rs
@@ -0,0 +1,84 @@
+use super::*;
+use crate::wire::encode;
+
+fn response(status: u16, body: Vec<u8>) -> HttpResponse {
+    HttpResponse {
+        status,
+        body: body.into(),
+    }
+}
+
+fn get() -> StoreCall {
+    StoreCall::Get {
+        key: "live/job/run-1".into(),
+    }
+}
+
+#[test]
+fn a_missing_key_is_no_error() {
+    let reply = read(&get(), &response(404, Vec::new())).unwrap();
+    assert_eq!(reply, StoreReply::Item(None));
+}
+
+#[test]
+fn a_failed_comparison_names_its_keys() {
+    let conflict = Conflict {
+        failed_keys: vec!["live/lead".into()],
+    };
+    let commit = StoreCall::Commit(Default::default());
+    let error = read(&commit, &response(409, encode(&conflict))).unwrap_err();
+    assert!(matches!(error, StoreError::Conflict(keys) if keys == ["live/lead"]));
+}
+
+#[test]
+fn an_expired_lease_and_a_compacted_watch_are_told_apart() {
+    let keep_alive = StoreCall::KeepAlive { lease: 7 };
+    let watch = StoreCall::Watch {
+        prefix: "live/".into(),
+        after: 1,
+        wait_ms: 1000,
+    };
+    assert!(matches!(
+        read(&keep_alive, &response(404, Vec::new())),
+        Err(StoreError::NoLease)
+    ));
+    assert!(matches!(
+        read(&watch, &response(410, Vec::new())),
+        Err(StoreError::Compacted)
+    ));
+}
+
+#[test]
+fn errors_tell_whether_the_call_may_have_been_executed() {
+    let refused = read(&get(), &response(503, Vec::new())).unwrap_err();
+    assert_eq!(refused.to_string(), "not executed: status 503");
+    let unreadable = read(&get(), &response(200, vec![0])).unwrap_err();
+    assert!(matches!(unreadable, StoreError::Unknown(_)));
+    let malformed = read(&get(), &response(400, vec![b'x'; 200])).unwrap_err();
+    let shown = "x".repeat(MAX_SHOWN_CHARACTERS);
+    assert_eq!(
+        malformed.to_string(),
+        format!("bad request or answer: status 400: {shown}")
+    );
+}
+
+#[test]
+fn a_record_of_another_form_keeps_its_version() {
+    let item = Item {
+        key: "live/job/run-1".into(),
+        value: rmpv::Value::from("text"),
+        version: 9,
+    };
+    let response = response(200, encode(&item));
+    assert_eq!(
+        read_record::<String>(&get(), &response).unwrap(),
+        Some(Record::Read {
+            record: "text".into(),
+            version: 9
+        })
+    );
+    assert_eq!(
+        read_record::<u64>(&get(), &response).unwrap(),
+        Some(Record::Unreadable { version: 9 })
+    );
+}
