--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -37,16 +37,9 @@
     /// other cases.
     pub async fn call(&self, call: &CloudCall) -> Result<CloudReply, CloudError> {
         self.limiter.acquire(1.0, rate_reserve(call)).await;
-        let request = request(call);
         let response = self
             .http
-            .call(
-                request.method,
-                self.address,
-                &request.path,
-                request.body,
-                constants::CLOUD_TIMEOUT,
-            )
+            .send(self.address, request(call), constants::CLOUD_TIMEOUT)
             .await
             .map_err(CloudFailure::from)?;
         read(call, &response)
--- a/src/http.rs
+++ b/src/http.rs
@@ -132,7 +132,23 @@
         HttpClient { inner }
     }
 
-    /// Sends one request and reads its whole response within `timeout`.
+    /// Sends a request and reads its whole response within `timeout`.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`HttpClient::call`].
+    pub(crate) async fn send(
+        &self,
+        address: SocketAddr,
+        request: HttpRequest,
+        timeout: Duration,
+    ) -> Result<HttpResponse, HttpError> {
+        let HttpRequest { method, path, body } = request;
+        self.call(method, address, &path, body, timeout).await
+    }
+
+    /// Sends a request with an encoded body, if any, and reads its whole response within
+    /// `timeout`.
     ///
     /// # Errors
     ///
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -143,3 +143,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -66,15 +66,8 @@
         priority: CallPriority,
     ) -> Result<HttpResponse, StoreError> {
         self.limits.admit(call, priority).await?;
-        let request = request(call);
         self.http
-            .call(
-                request.method,
-                self.address,
-                &request.path,
-                request.body,
-                timeout(call),
-            )
+            .send(self.address, request(call), timeout(call))
             .await
             .map_err(|error| failure(call, error))
     }
--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -49,13 +49,7 @@
     async fn call(&self, call: &WorkerCall) {
         let address = call.address;
         let request = HttpRequest::post("/commands", &call.commands);
-        let response = self.http.call(
-            request.method,
-            address,
-            &request.path,
-            request.body,
-            constants::WORKER_TIMEOUT,
-        );
+        let response = self.http.send(address, request, constants::WORKER_TIMEOUT);
         match response.await {
             Ok(response) if response.status == 200 => {}
             Ok(response) => {
