--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -23,7 +23,9 @@
         };
         let record = JobRecord::new(job, unix_time_ms());
         let value = engine::job_value(&record);
-        if engine::json_size(&value) + constants::RECORD_SPARE_BYTES > self.settings.value_max() {
+        if engine::json_size(&value) + constants::RECORD_SPARE_BYTES
+            > self.settings.max_value_bytes()
+        {
             let why = "models and awaits: too long together";
             return self.refuse_malformed(body, why).await;
         }
@@ -178,7 +180,7 @@
         return Err("a task fits no allowed machine type".into());
     }
     let least = spec.min_request();
-    if !team.limit().holds(least) {
+    if !team.limit().allows(least) {
         let what = if job.kind == JobKind::Array {
             "a task"
         } else {
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -132,8 +132,8 @@
         objective.kind == ObjectiveKind::Wait
             && objective.class.as_deref() == Some(class)
             && objective
-                .within_ms
-                .is_some_and(|within_ms| start_ms > within_ms)
+                .within
+                .is_some_and(|within| u128::from(start_ms) > within.as_millis())
     })
 }
 
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -74,7 +74,7 @@
     let aim = ServiceLevelObjective {
         kind: ObjectiveKind::Wait,
         class: Some("train".into()),
-        within_ms: Some(20_000),
+        within: Some(std::time::Duration::from_secs(20)),
     };
     let spec = JobSpec::from(&wire_job("run-1", JobKind::Service, 1));
     let mut arrivals = ArrivalHistory::default();
@@ -102,7 +102,7 @@
     let aim = ServiceLevelObjective {
         kind: ObjectiveKind::Wait,
         class: Some("train".into()),
-        within_ms: Some(20_000),
+        within: Some(std::time::Duration::from_secs(20)),
     };
     let expected = |kind, estimate_s| {
         let mut wire = wire_job("run-1", kind, 1);
--- a/src/engine/rounds/mod.rs
+++ b/src/engine/rounds/mod.rs
@@ -115,7 +115,7 @@
 
     /// Starts that one record holds.
     fn starts_per_record(&self) -> usize {
-        let by_size = self.settings.value_max() / constants::TASK_START_RECORD_BYTES;
+        let by_size = self.settings.max_value_bytes() / constants::TASK_START_RECORD_BYTES;
         by_size.min(constants::MAX_STARTS_PER_TRANSACTION)
     }
 
@@ -201,7 +201,7 @@
             };
             let sum = sums.entry(&job.spec.team).or_default();
             *sum += job.spec.total_request();
-            if team.guarantee().is_some() && team.guarantee().holds(*sum) {
+            if team.guarantee().is_bounded() && team.guarantee().allows(*sum) {
                 within.insert(id.clone());
             }
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,30 +3,36 @@
 use clap::{Args, Parser, Subcommand};
 use std::convert::Infallible;
 use std::io;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tracing_subscriber::filter::LevelFilter;
 use umbervale::node::Node;
 use umbervale::settings::Settings;
 
+/// Exit code if the settings are refused.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+
+/// Environment variable with the log level.
+const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
+
 /// A cluster scheduler: accepts jobs, rents machines and places tasks on them.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
     #[command(subcommand)]
-    command: Verb,
+    action: Action,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Action {
     /// Run a controller node until it is killed. LOG_LEVEL: error, info (default) or debug.
-    Serve(Files),
+    Serve(SettingsFiles),
     /// Check the settings and exit: 0 if they are valid, 2 if not.
-    Check(Files),
+    Check(SettingsFiles),
 }
 
 #[derive(Args)]
-struct Files {
+struct SettingsFiles {
     /// The platform's settings (TOML).
     #[arg(long)]
     config: PathBuf,
@@ -35,46 +41,60 @@
     operator: Option<PathBuf>,
 }
 
+impl SettingsFiles {
+    /// Reads and checks the files; the error is the program's exit code, its cause is printed.
+    fn load(&self) -> Result<Settings, ExitCode> {
+        Settings::load(&self.config, self.operator.as_deref()).map_err(|error| {
+            eprintln!("umbervale: {error}");
+            ExitCode::from(EXIT_INVALID_SETTINGS)
+        })
+    }
+}
+
 fn main() -> ExitCode {
-    let (serve, files) = match Cli::parse().command {
-        Verb::Serve(files) => (true, files),
-        Verb::Check(files) => (false, files),
-    };
-    let settings = match Settings::load(&files.config, files.operator.as_deref()) {
-        Ok(settings) => settings,
-        Err(e) => {
-            eprintln!("umbervale: {e}");
-            return ExitCode::from(2);
-        }
+    let result = match Cli::parse().action {
+        Action::Serve(files) => files.load().map(serve),
+        Action::Check(files) => files.load().map(|settings| check(&files.config, &settings)),
     };
-    let warnings = settings.warnings();
-    if !serve {
-        for warning in warnings {
-            eprintln!("umbervale: {}: warning: {warning}", files.config.display());
-        }
-        println!("{}: valid, node {}", files.config.display(), settings.node);
-        return ExitCode::SUCCESS;
+    result.unwrap_or_else(|exit_code| exit_code)
+}
+
+/// Prints what operators should know of valid settings.
+fn check(config: &Path, settings: &Settings) -> ExitCode {
+    for warning in settings.warnings() {
+        eprintln!("umbervale: {}: warning: {warning}", config.display());
     }
-    let level = match std::env::var("LOG_LEVEL").as_deref() {
-        Ok("error") => LevelFilter::ERROR,
-        Ok("debug") => LevelFilter::DEBUG,
-        _ => LevelFilter::INFO,
-    };
+    println!("{}: valid, node {}", config.display(), settings.node);
+    ExitCode::SUCCESS
+}
+
+/// Runs a node; returns only if it can't be started.
+fn serve(settings: Settings) -> ExitCode {
     tracing_subscriber::fmt()
-        .with_max_level(level)
-        .with_writer(std::io::stderr)
+        .with_max_level(log_level())
+        .with_writer(io::stderr)
         .with_ansi(false)
         .init();
-    for warning in warnings {
-        tracing::warn!("{warning}");
+    for warning in settings.warnings() {
+        tracing::warn!(%warning, "settings ask for more than was measured");
     }
+    let Err(error) = run(settings);
+    tracing::error!(%error, "node can't be started");
+    ExitCode::FAILURE
+}
+
+fn run(settings: Settings) -> io::Result<Infallible> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build();
-    let Err(e) = runtime.and_then(|runtime| -> io::Result<Infallible> {
-        let node = runtime.block_on(Node::bind(settings))?;
-        Ok(runtime.block_on(node.serve()))
-    });
-    tracing::error!("{e}");
-    ExitCode::FAILURE
+        .build()?;
+    let bound = runtime.block_on(Node::bind(settings));
+    bound.map(|node| runtime.block_on(node.serve()))
+}
+
+fn log_level() -> LevelFilter {
+    match std::env::var(LOG_LEVEL_VARIABLE).as_deref() {
+        Ok("error") => LevelFilter::ERROR,
+        Ok("debug") => LevelFilter::DEBUG,
+        _ => LevelFilter::INFO,
+    }
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -113,7 +113,7 @@
     /// Takes `need` for the team up to `most` times, as its limit allows; how often it did.
     fn take(&mut self, team: &Arc<str>, request: Resources, most: u32) -> u32 {
         let used = self.used(team);
-        let left = self.limits.get(team).map(|limit| limit.less(used));
+        let left = self.limits.get(team).map(|limit| limit.remaining(used));
         let times = left.map_or(0, |left| left.max_multiple(request).min(most));
         if times > 0 {
             self.used
--- a/src/settings/capacity.rs
+++ b/src/settings/capacity.rs
@@ -1,89 +1,99 @@
-//! What a node's machine has to have: the memory that queues, caches and bodies may take together, and
-//! how large a fleet that leaves room for. The sum is worked out in `docs/design.md`.
+//! The memory that queues, caches and requests' bodies of a node may take together, and how many
+//! machines the rest is enough for. The sum is explained in `docs/design.md`.
 
-use super::Settings;
+use super::{Settings, SettingsWarning};
 use crate::constants;
 
-/// Memory of a node at its worst, bytes. All but the fleet's part is bounded by the settings.
+/// Bytes of a MB.
+const BYTES_PER_MB: f64 = 1e6;
+
+/// Most memory that a node takes, bytes, without that for the machines of the cluster, which the
+/// settings do not bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MemoryNeed {
+pub struct MemoryRequirement {
     /// The process without any work.
-    pub start: usize,
+    pub process: usize,
     /// All connections of `front`, with their buffers full.
     pub connections: usize,
     /// Bodies of requests, and what is decoded from them.
-    pub bodies: usize,
-    /// Answers of the state service and the cloud, and what is decoded from them.
-    pub answers: usize,
-    /// Caches, and memories of what is over.
+    pub request_bodies: usize,
+    /// Responses of the state service and the cloud, and what is decoded from them.
+    pub responses: usize,
+    /// Caches of final states.
     pub caches: usize,
 }
 
-impl MemoryNeed {
-    /// The need under these settings.
-    pub fn of(settings: &Settings) -> Self {
-        MemoryNeed {
-            start: constants::PROCESS_BASE_BYTES,
+impl MemoryRequirement {
+    /// The requirement under these settings.
+    pub fn new(settings: &Settings) -> Self {
+        MemoryRequirement {
+            process: constants::PROCESS_BASE_BYTES,
             connections: settings.front_connections() * constants::CONNECTION_BYTES,
-            bodies: settings.body_budget() * constants::BODY_DECODED_FACTOR,
-            answers: constants::MAX_LARGE_RESPONSES
+            request_bodies: settings.body_budget() * constants::BODY_DECODED_FACTOR,
+            responses: constants::MAX_LARGE_RESPONSES
                 * constants::USUAL_MAX_RESPONSE_BYTES
                 * constants::RESPONSE_DECODED_FACTOR,
             caches: constants::FINAL_STATE_CACHE_ENTRIES * constants::FINAL_STATE_BYTES,
         }
     }
 
-    /// Bytes in all, without the fleet.
+    /// The sum of all parts, bytes.
     pub fn total(self) -> usize {
-        self.start + self.connections + self.bodies + self.answers + self.caches
+        self.process + self.connections + self.request_bodies + self.responses + self.caches
     }
 }
 
 impl Settings {
-    /// How many machines, with their tasks and jobs, the memory that is left carries.
-    pub fn machines_carried(&self) -> usize {
-        let memory = (self.cluster.machine_limits.mem_mb * 1e6) as usize;
-        memory.saturating_sub(MemoryNeed::of(self).total()) / constants::MACHINE_BYTES
+    /// Memory of the process, bytes.
+    pub(super) fn memory_bytes(&self) -> usize {
+        (self.cluster.machine_limits.mem_mb * BYTES_PER_MB) as usize
+    }
+
+    /// How many machines, with their tasks and jobs, the rest of the memory is enough for.
+    pub fn max_machines_in_memory(&self) -> usize {
+        let required = MemoryRequirement::new(self).total();
+        self.memory_bytes().saturating_sub(required) / constants::MACHINE_BYTES
+    }
+
+    /// What operators should know of settings that are allowed, but ask for more than was measured
+    /// to work.
+    pub fn warnings(&self) -> Vec<SettingsWarning> {
+        let warnings = [
+            self.memory_warning(),
+            self.cpu_warning(),
+            self.cluster_size_warning(),
+        ];
+        warnings.into_iter().flatten().collect()
     }
 
-    /// What operators should know of settings that are allowed, but ask for more than was measured to
-    /// work.
-    pub fn warnings(&self) -> Vec<String> {
-        let mut warnings = Vec::new();
+    fn memory_warning(&self) -> Option<SettingsWarning> {
         let limits = &self.cluster.machine_limits;
-        let least = MemoryNeed::of(self).total()
+        let min_bytes = MemoryRequirement::new(self).total()
             + constants::MIN_EXPECTED_MACHINES * constants::MACHINE_BYTES;
-        let least_mb = (least as f64 / 1e6).ceil();
-        if limits.mem_mb < least_mb {
-            warnings.push(format!(
-                "cluster.machine_limits.mem_mb: {} given; {} connections and {} machines may take {least_mb}",
-                limits.mem_mb, limits.max_connections, constants::MIN_EXPECTED_MACHINES
-            ));
-        }
-        if let Some(share) = limits
-            .cpu_share
-            .filter(|share| *share < constants::MIN_MEASURED_CPU_SHARE)
-        {
-            warnings.push(format!(
-                "cluster.machine_limits.cpu_share: {share} given; less than {} was not measured",
-                constants::MIN_MEASURED_CPU_SHARE
-            ));
-        }
-        warnings.extend(self.fleet_warning());
-        warnings
+        let min_mb = (min_bytes as f64 / BYTES_PER_MB).ceil();
+        (limits.mem_mb < min_mb).then_some(SettingsWarning::LittleMemory {
+            mem_mb: limits.mem_mb,
+            max_connections: limits.max_connections,
+            min_mb,
+        })
+    }
+
+    fn cpu_warning(&self) -> Option<SettingsWarning> {
+        let cpu_share = self.cluster.machine_limits.cpu_share?;
+        (cpu_share < constants::MIN_MEASURED_CPU_SHARE)
+            .then_some(SettingsWarning::LittleCpu { cpu_share })
     }
 
-    /// Whether the teams' limits allow a fleet that the memory may not carry: machines' sizes are not
-    /// known here, so it tells how many GPUs a machine must have.
-    fn fleet_warning(&self) -> Option<String> {
+    /// Whether the teams' limits allow more machines than the memory may be enough for. How many
+    /// GPUs a machine has is not known here, so the warning tells how many it must have.
+    fn cluster_size_warning(&self) -> Option<SettingsWarning> {
         let gpus: f64 = self.cluster.teams.iter().map(|team| team.gpus_max).sum();
-        let machines = self.machines_carried().max(1);
-        let gpus_each = (gpus / machines as f64).ceil();
-        (gpus_each > 1.0).then(|| {
-            format!(
-                "cluster.machine_limits.mem_mb: carries about {machines} machines; the teams' limits \
-                 allow {gpus} GPUs, more than that if a machine has fewer than {gpus_each}"
-            )
+        let machines = self.max_machines_in_memory().max(1);
+        let min_machine_gpus = (gpus / machines as f64).ceil();
+        (min_machine_gpus > 1.0).then_some(SettingsWarning::ClusterTooLarge {
+            machines,
+            gpus,
+            min_machine_gpus,
         })
     }
 }
--- a/src/settings/cluster.rs
+++ b/src/settings/cluster.rs
@@ -1,15 +1,16 @@
-//! The cluster's part of the platform's settings.
+//! The cluster's part of the platform's settings. The names of the types stand in error texts.
 
 use super::Team;
 use crate::constants;
 use serde::Deserialize;
+use std::time::Duration;
 
 /// What a service-level objective measures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObjectiveKind {
     /// The time until a job's tasks run.
     Wait,
-    /// Anything that no decision of this program depends on.
+    /// Anything that no decision of the scheduler depends on.
     Other,
 }
 
@@ -21,11 +22,11 @@
     pub kind: ObjectiveKind,
     /// Class of the jobs that it is about; all if absent.
     pub class: Option<String>,
-    /// Time within which it is met, ms, if it is about a time.
-    pub within_ms: Option<u64>,
+    /// Time within which it is met, if it is about a time.
+    pub within: Option<Duration>,
 }
 
-/// A service-level objective as the platform's file has it. Its name stands in error texts.
+/// A service-level objective as the platform's file has it.
 #[derive(Debug, Clone, Deserialize)]
 struct Objective {
     kind: String,
@@ -41,32 +42,43 @@
             "wait" => ObjectiveKind::Wait,
             _ => ObjectiveKind::Other,
         };
+        // Whole milliseconds; a negative number or one that is not a number counts as 0.
+        let duration = |seconds: f64| Duration::from_millis((seconds * 1000.0) as u64);
         ServiceLevelObjective {
             kind,
             class: objective.class,
-            within_ms: objective.within_s.map(|s| (s * 1000.0) as u64),
+            within: objective.within_s.map(duration),
         }
     }
 }
 
-/// How workers report and how long their tasks may run unheard, s.
+/// The workers' heartbeats, and how long their tasks may run without them.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
+    /// Time between two heartbeats of a worker, s.
     pub report_s: f64,
+    /// A worker's lease: after this time without a response to its heartbeats, it stops its tasks, s.
     pub lease_s: f64,
+    /// How long the started tasks of a gang wait for the others, s.
     pub gang_wait_s: f64,
+    /// How long the tasks of a gang run on when one of them is lost, s.
     pub gang_peer_s: f64,
+    /// Time within which all tasks of a cancelled job must have stopped, s.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service: calls and changes a second, KiB a value, changes a transaction.
+/// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct State {
+    /// Calls a second.
     pub rps: f64,
+    /// Changes a second.
     pub write_rps: f64,
+    /// Largest value, KiB.
     pub value_kb: f64,
+    /// Changes in one transaction.
     pub txn_ops: usize,
-    /// Limits that will hold from some moment on, without notice.
+    /// Limits that will apply from some moment on, without notice.
     #[serde(default)]
     pub(super) next: Option<NextState>,
 }
@@ -82,41 +94,53 @@
 }
 
 impl State {
-    /// The limits to keep to: the least of those of now and of later. Requests that fit the least of
-    /// both fit at any time, so nobody has to find out when the change comes.
-    pub(super) fn keep_to_least(&mut self) {
+    /// Lowers each limit to the one to come, if that is lower. Requests within both limits are
+    /// accepted at any time, so that no node has to find out when the change takes effect.
+    pub(super) fn apply_lower_limits(&mut self) {
         let next = self.next.take().unwrap_or_default();
-        let least = |now: &mut f64, next: Option<f64>| *now = next.map_or(*now, |n| now.min(n));
-        least(&mut self.rps, next.rps);
-        least(&mut self.write_rps, next.write_rps);
-        least(&mut self.value_kb, next.value_kb);
-        self.txn_ops = next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops));
+        let lower = |limit: &mut f64, next: Option<f64>| {
+            *limit = next.map_or(*limit, |next| next.min(*limit));
+        };
+        lower(&mut self.rps, next.rps);
+        lower(&mut self.write_rps, next.write_rps);
+        lower(&mut self.value_kb, next.value_kb);
+        let txn_ops = next.txn_ops.unwrap_or(self.txn_ops);
+        self.txn_ops = txn_ops.min(self.txn_ops);
     }
 }
 
-/// The cloud's limit of calls a second, and by how many seconds its machine list may lag.
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cloud {
+    /// Calls a second.
     pub rps: f64,
+    /// By how much the list of machines may be out of date, s.
     pub list_lag_s: f64,
 }
 
 /// What is the same for all nodes of a cluster.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cluster {
+    /// Zones in which machines can be rented; at least one.
     pub zones: Vec<String>,
+    /// Teams whose jobs are accepted.
     #[serde(default)]
     pub teams: Vec<Team>,
+    /// Service-level objectives of the users.
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
+    /// Heartbeats and leases of the workers.
     pub workers: Workers,
+    /// Limits of the state service.
     pub state: State,
+    /// Limits of the cloud's API.
     pub cloud: Cloud,
+    /// What a node's machine allows.
     #[serde(default)]
     pub machine_limits: MachineLimits,
 }
 
-/// What this node's machine allows.
+/// What a node's machine allows.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct MachineLimits {
--- a/src/settings/operator/tests.rs
+++ b/src/settings/operator/tests.rs
@@ -11,8 +11,11 @@
 
 #[test]
 fn s_expressions_are_read_and_checked() {
-    let o = Operator::parse("((idle_s . 30.5) (spot . #f))", "o.sexp").unwrap();
-    assert_eq!((o.idle_s, o.spot, o.most_machines), (30.5, false, 0));
+    let operator = Operator::parse("((idle_s . 30.5) (spot . #f))", "o.sexp").unwrap();
+    assert_eq!(
+        (operator.idle_s, operator.spot, operator.most_machines),
+        (30.5, false, 0)
+    );
     let text = Operator::parse("((idel_s . 30.0))", "o.sexp")
         .unwrap_err()
         .to_string();
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -70,9 +70,8 @@
     );
 }
 
-/// The limit on sockets was once looked for in another table, and every node took 1,000.
 #[test]
-fn connections_follow_from_the_machine() {
+fn front_connections_follow_from_the_machine_limits() {
     let front = |text: &str| Settings::parse(text, "s.toml").unwrap().front_connections();
     assert_eq!(front(SAMPLE), 1817 - OWN_CONNECTIONS);
     let larger = SAMPLE.replace("= 1817", "= 12000");
@@ -90,12 +89,12 @@
     assert!(text.contains("at least"), "{text}");
 }
 
-/// The inequality behind `ran_cancelled`: a node that has not heard of a cancellation stops
-/// answering within the grace, and the worker's lease ends before `cancel_s`.
+/// A leader that has not heard of a cancellation stops renewing workers' leases within the grace,
+/// and a worker's lease expires before the time allowed for the cancellation is over.
 #[test]
-fn grace_and_worker_lease_end_before_a_cancellation_is_due() {
+fn grace_and_worker_lease_end_before_the_cancellation_deadline() {
     for (lease, cancel) in [(17.0, 42.0), (30.0, 55.0), (5.0, 12.0), (6.0, 9.0)] {
-        let t = Timing::new(&Workers {
+        let timing = Timing::new(&Workers {
             report_s: 3.0,
             lease_s: lease,
             gang_wait_s: 30.0,
@@ -103,32 +102,37 @@
             cancel_s: cancel,
         });
         let slow = |ms: u64| ms + ms / 2000;
-        assert!(slow(t.leader_grace) + slow(t.worker_lease) + 500 < (cancel * 1000.0) as u64);
+        assert!(
+            slow(timing.leader_grace) + slow(timing.worker_lease) + 500 < (cancel * 1000.0) as u64
+        );
         // Renewals and watches come at least this often while all is well.
         assert!(
-            t.leader_grace
+            timing.leader_grace
                 > 2 * constants::LEASE_RENEWAL_INTERVAL_MS.max(constants::WATCH_TIMEOUT_MS)
         );
     }
 }
 
 #[test]
-fn limits_to_come_are_kept_from_the_start() {
+fn limits_to_come_apply_from_the_start() {
     let with = |next: &str| {
         let text = SAMPLE.replace("txn_ops = 24", &format!("txn_ops = 24\n{next}"));
         Settings::parse(&text, "s.toml")
     };
     let state = |next: &str| with(next).unwrap().cluster.state;
     assert_eq!(state("").txn_ops, 24);
-    let some = state("[cluster.state.next]\nvalue_kb = 2.0\nwrite_rps = 80.0\nnew = 1");
+    let two_given = state("[cluster.state.next]\nvalue_kb = 2.0\nwrite_rps = 80.0\nnew = 1");
     assert_eq!(
-        (some.value_kb, some.write_rps, some.txn_ops),
+        (two_given.value_kb, two_given.write_rps, two_given.txn_ops),
         (2.0, 50.0, 24)
     );
     let all = "[cluster.state.next]\nvalue_kb = 16.0\nwrite_rps = 15\nrps = 100.0\ntxn_ops = 4";
-    let all = state(all);
-    assert_eq!((all.value_kb, all.write_rps, all.rps), (8.0, 15.0, 100.0));
-    assert_eq!(all.txn_ops, 4);
+    let all_given = state(all);
+    assert_eq!(
+        (all_given.value_kb, all_given.write_rps, all_given.rps),
+        (8.0, 15.0, 100.0)
+    );
+    assert_eq!(all_given.txn_ops, 4);
     for (next, field, allowed) in [
         ("value_kb = 1.0", "next.value_kb", "at least 2"),
         ("txn_ops = 3", "next.txn_ops", "at least 4"),
@@ -142,29 +146,33 @@
     }
 }
 
-/// The sum of `docs/design.md`: queues, caches, bodies and connections stay below the memory of the
-/// smallest machines that the service runs on, whatever callers send, with a fleet beside them.
+/// The sum in `docs/design.md`: whatever callers send, connections, request bodies and caches leave
+/// enough of the memory of the smallest nodes for the machines of a cluster.
 #[test]
-fn what_callers_can_fill_leaves_memory_for_a_fleet() {
+fn memory_requirement_leaves_room_for_the_machines_of_a_cluster() {
     for (mem_mb, sockets, machines) in [(37.0, 1000, 692), (46.0, 1200, 470), (160.0, 4200, 4000)] {
         let text = SAMPLE.replace("mem_mb = 98.0", &format!("mem_mb = {mem_mb:?}"));
         let text = text.replace("= 1817", &format!("= {sockets}"));
         let settings = Settings::parse(&text, "s.toml").unwrap();
-        let need = MemoryNeed::of(&settings);
-        let sum = need.start + need.connections + need.bodies + need.answers + need.caches;
-        assert_eq!(need.total(), sum);
-        assert!(need.bodies <= (mem_mb * 1e6) as usize / 5);
-        let carried = settings.machines_carried();
+        let required = MemoryRequirement::new(&settings);
+        let sum = required.process
+            + required.connections
+            + required.request_bodies
+            + required.responses
+            + required.caches;
+        assert_eq!(required.total(), sum);
+        assert!(required.request_bodies <= (mem_mb * 1e6) as usize / 5);
+        let max_machines = settings.max_machines_in_memory();
         assert!(
-            carried >= machines,
-            "{mem_mb} MB: {carried} machines, {need:?}"
+            max_machines >= machines,
+            "{mem_mb} MB: {max_machines} machines, {required:?}"
         );
-        assert_eq!(settings.warnings(), Vec::<String>::new(), "{mem_mb} MB");
+        assert_eq!(settings.warnings(), [], "{mem_mb} MB");
     }
 }
 
 #[test]
-fn machine_limits_are_checked_and_too_small_ones_are_warned_of() {
+fn machine_limits_are_checked_and_small_ones_give_a_warning() {
     let with = |from: &str, to: &str| Settings::parse(&SAMPLE.replace(from, to), "s.toml");
     for (from, to) in [
         ("mem_mb = 98.0", "mem_mb = 0.0"),
@@ -178,24 +186,30 @@
         assert!(text.contains(&field) && text.contains("expected"), "{text}");
     }
     let warnings = with("mem_mb = 98.0", "mem_mb = 30.0").unwrap().warnings();
-    assert!(warnings[0].contains("mem_mb: 30 given"), "{warnings:?}");
+    assert!(
+        warnings[0].to_string().contains("mem_mb: 30 given"),
+        "{warnings:?}"
+    );
     let warnings = with("cpu_share = 0.12", "cpu_share = 0.01")
         .unwrap()
         .warnings();
     assert!(
-        warnings[0].contains("cpu_share: 0.01 given"),
+        warnings[0].to_string().contains("cpu_share: 0.01 given"),
         "{warnings:?}"
     );
     let warnings = with("gpus_max = 8.0", "gpus_max = 90000.0")
         .unwrap()
         .warnings();
-    assert!(warnings[0].contains("allow 90000 GPUs"), "{warnings:?}");
-    // Without limits there are defaults, of which nobody is warned.
+    assert!(
+        warnings[0].to_string().contains("allow 90000 GPUs"),
+        "{warnings:?}"
+    );
+    // The defaults give no warning.
     let limits = SAMPLE.find("[cluster.machine_limits]").unwrap();
     let defaults = Settings::parse(&SAMPLE[..limits], "s.toml").unwrap();
     assert_eq!(
         defaults.cluster.machine_limits.mem_mb,
         constants::DEFAULT_MEMORY_MB
     );
-    assert_eq!(defaults.warnings(), Vec::<String>::new());
+    assert_eq!(defaults.warnings(), []);
 }
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,43 +1,30 @@
 //! Checks on the values of the platform's settings, beyond their form.
 
 use super::cluster::{Cluster, MachineLimits, State, Workers};
+use super::error::{InvalidField, Violation};
 use super::{Settings, Team};
 use crate::constants;
 
-/// Least size of a value in the state service, KiB, and least number of changes of a transaction: a
-/// submission without long lists, and a part of an array's progress, take less than the one; a change
-/// of leader, a round or an end of a job fits into the other.
-const VALUE_KB_MIN: f64 = 2.0;
-const TXN_OPS_MIN: usize = 4;
+/// Least size of a value in the state service, KiB: a submission without long lists and a part of
+/// an array's progress take less.
+const MIN_VALUE_KB: f64 = 2.0;
+/// Least number of changes of a transaction: an election, a round or a completion takes no more.
+const MIN_TXN_OPS: usize = 4;
 
 /// Most bytes of a node's name.
-const NODE_NAME_MAX: usize = 100;
+pub(super) const MAX_NODE_NAME_BYTES: usize = 100;
 /// Most that a duration, a rate or a size may be.
-const AMOUNT_MAX: f64 = 1e6;
+pub(super) const MAX_AMOUNT: f64 = 1e6;
 /// Most CPUs or GPUs of a team.
-const TEAM_AMOUNT_MAX: f64 = 1e9;
-
-/// A field whose value is not allowed.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct InvalidField {
-    /// The field's path within the file.
-    pub field: String,
-    /// What was expected.
-    pub allowed: String,
-}
-
-impl InvalidField {
-    fn new(field: impl Into<String>, allowed: impl Into<String>) -> Self {
-        InvalidField {
-            field: field.into(),
-            allowed: allowed.into(),
-        }
-    }
-}
+pub(super) const MAX_TEAM_AMOUNT: f64 = 1e9;
 
 type Validity = Result<(), InvalidField>;
 
-/// Checks all values; the first that is not allowed is the error.
+/// Checks all values.
+///
+/// # Errors
+///
+/// The first field whose value is not allowed.
 pub(super) fn validate(settings: &Settings) -> Validity {
     let cluster = &settings.cluster;
     validate_node_name(&settings.node)?;
@@ -53,17 +40,16 @@
 }
 
 fn validate_node_name(name: &str) -> Validity {
-    if name.is_empty() || name.len() > NODE_NAME_MAX || name.contains(char::is_whitespace) {
-        let allowed = "expected 1 to 100 bytes without spaces";
-        return Err(InvalidField::new("node_name", allowed));
+    let is_too_long = name.len() > MAX_NODE_NAME_BYTES;
+    if name.is_empty() || is_too_long || name.contains(char::is_whitespace) {
+        return Err(InvalidField::new("node_name", Violation::NodeName));
     }
     Ok(())
 }
 
 fn validate_zones(cluster: &Cluster) -> Validity {
     if cluster.zones.is_empty() {
-        let allowed = "expected at least one zone";
-        return Err(InvalidField::new("cluster.zones", allowed));
+        return Err(InvalidField::new("cluster.zones", Violation::NoZones));
     }
     Ok(())
 }
@@ -87,41 +73,50 @@
         ("cluster.state.next.value_kb", next.value_kb),
     ];
     for (field, amount) in amounts {
-        if amount.is_some_and(|amount| !(amount > 0.0 && amount <= AMOUNT_MAX)) {
-            let allowed = "expected a number above 0, at most 1e6";
-            return Err(InvalidField::new(field, allowed));
+        if amount.is_some_and(|amount| !is_positive(amount)) {
+            return Err(InvalidField::new(field, Violation::NotPositive));
         }
     }
     Ok(())
 }
 
+fn is_positive(amount: f64) -> bool {
+    amount > 0.0 && amount <= MAX_AMOUNT
+}
+
 fn validate_state_minima(state: &State) -> Validity {
     let next = state.next.clone().unwrap_or_default();
     for (field, value_kb) in [
         ("cluster.state.value_kb", Some(state.value_kb)),
         ("cluster.state.next.value_kb", next.value_kb),
     ] {
-        if value_kb.is_some_and(|kb| kb < VALUE_KB_MIN) {
-            let allowed = format!("expected at least {VALUE_KB_MIN}");
-            return Err(InvalidField::new(field, allowed));
+        if value_kb.is_some_and(|value_kb| value_kb < MIN_VALUE_KB) {
+            let minimum = MIN_VALUE_KB;
+            return Err(InvalidField::new(
+                field,
+                Violation::BelowMinimum { minimum },
+            ));
         }
     }
     for (field, txn_ops) in [
         ("cluster.state.txn_ops", Some(state.txn_ops)),
         ("cluster.state.next.txn_ops", next.txn_ops),
     ] {
-        if txn_ops.is_some_and(|ops| ops < TXN_OPS_MIN) {
-            let allowed = format!("expected at least {TXN_OPS_MIN}");
-            return Err(InvalidField::new(field, allowed));
+        if txn_ops.is_some_and(|txn_ops| txn_ops < MIN_TXN_OPS) {
+            let minimum = MIN_TXN_OPS as f64;
+            return Err(InvalidField::new(
+                field,
+                Violation::BelowMinimum { minimum },
+            ));
         }
     }
     Ok(())
 }
 
 fn validate_list_lag(cluster: &Cluster) -> Validity {
-    if !(0.0..=AMOUNT_MAX).contains(&cluster.cloud.list_lag_s) {
-        let allowed = "expected a number from 0 to 1e6";
-        return Err(InvalidField::new("cluster.cloud.list_lag_s", allowed));
+    if !(0.0..=MAX_AMOUNT).contains(&cluster.cloud.list_lag_s) {
+        let violation = Violation::OutOfRange { minimum: 0.0 };
+        return Err(InvalidField::new("cluster.cloud.list_lag_s", violation));
     }
     Ok(())
 }
@@ -129,19 +124,18 @@
 fn validate_machine_limits(limits: &MachineLimits) -> Validity {
     let field = |name: &str| format!("cluster.machine_limits.{name}");
     if limits.max_connections < constants::MIN_CONNECTIONS {
-        let allowed = format!("expected at least {}", constants::MIN_CONNECTIONS);
-        return Err(InvalidField::new(field("max_connections"), allowed));
+        let minimum = constants::MIN_CONNECTIONS as f64;
+        let violation = Violation::BelowMinimum { minimum };
+        return Err(InvalidField::new(field("max_connections"), violation));
     }
-    if !(constants::MIN_MEMORY_MB..=AMOUNT_MAX).contains(&limits.mem_mb) {
-        let allowed = format!("expected a number from {} to 1e6", constants::MIN_MEMORY_MB);
-        return Err(InvalidField::new(field("mem_mb"), allowed));
+    if !(constants::MIN_MEMORY_MB..=MAX_AMOUNT).contains(&limits.mem_mb) {
+        let minimum = constants::MIN_MEMORY_MB;
+        let violation = Violation::OutOfRange { minimum };
+        return Err(InvalidField::new(field("mem_mb"), violation));
     }
-    if limits
-        .cpu_share
-        .is_some_and(|share| !(share > 0.0 && share <= AMOUNT_MAX))
-    {
-        let allowed = "expected a number above 0, at most 1e6";
-        return Err(InvalidField::new(field("cpu_share"), allowed));
+    if limits.cpu_share.is_some_and(|share| !is_positive(share)) {
+        let violation = Violation::NotPositive;
+        return Err(InvalidField::new(field("cpu_share"), violation));
     }
     Ok(())
 }
@@ -153,23 +147,21 @@
         ("gpus", team.gpus),
         ("gpus_max", team.gpus_max),
     ] {
-        if !(0.0..=TEAM_AMOUNT_MAX).contains(&amount) {
+        if !(0.0..=MAX_TEAM_AMOUNT).contains(&amount) {
             let field = format!("cluster.teams.{}.{name}", team.name);
-            return Err(InvalidField::new(field, "expected a number from 0 to 1e9"));
+            return Err(InvalidField::new(field, Violation::TeamAmount));
         }
     }
     Ok(())
 }
 
-/// A cancellation must be able to outlast a worker's lease: see [`super::Timing::grace`].
+/// A leader that has not heard of a cancellation must stop renewing workers' leases early enough
+/// for them to expire in the time allowed for it: see [`super::Timing::leader_grace`].
 fn validate_cancellation_time(workers: &Workers) -> Validity {
     let (cancel_s, lease_s) = (workers.cancel_s, workers.lease_s);
     if cancel_s < lease_s + constants::MIN_CANCEL_SLACK_S {
-        let allowed = format!(
-            "{cancel_s} given; expected at least lease_s ({lease_s}) and {} s more",
-            constants::MIN_CANCEL_SLACK_S
-        );
-        return Err(InvalidField::new("cluster.workers.cancel_s", allowed));
+        let violation = Violation::CancellationTime { cancel_s, lease_s };
+        return Err(InvalidField::new("cluster.workers.cancel_s", violation));
     }
     Ok(())
 }
