--- a/src/api/bodies/tests.rs
+++ b/src/api/bodies/tests.rs
@@ -4,15 +4,15 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body that comes in pieces of one size.
-struct Pieces {
-    left: usize,
+/// A body that comes in frames of one size.
+struct FramedBody {
+    frames_left: usize,
     size: usize,
-    /// After the last piece its sender says nothing more.
-    silent: bool,
+    /// Whether the sender stops after the last frame, without ending the body.
+    stalls: bool,
 }
 
-impl hyper::body::Body for Pieces {
+impl hyper::body::Body for FramedBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -20,66 +20,66 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.left == 0 && self.silent {
+        if self.frames_left == 0 && self.stalls {
             return Poll::Pending;
         }
         let size = self.size;
-        Poll::Ready(self.left.checked_sub(1).map(|left| {
-            self.left = left;
+        Poll::Ready(self.frames_left.checked_sub(1).map(|frames_left| {
+            self.frames_left = frames_left;
             Ok(Frame::data(vec![b'x'; size].into()))
         }))
     }
 }
 
-fn pieces(left: usize, size: usize) -> Body {
-    Body::new(Pieces {
-        left,
+fn body_of(frames: usize, size: usize) -> Body {
+    Body::new(FramedBody {
+        frames_left: frames,
         size,
-        silent: false,
+        stalls: false,
     })
 }
 
 const KIB: usize = 1024;
 
 #[tokio::test]
-async fn bodies_are_read_up_to_the_protocols_size() {
+async fn bodies_are_read_up_to_the_size_limit() {
     let budget = BodyBudget::new(1024 * KIB);
     let read = |body| budget.read(body, Sender::User);
-    assert_eq!(read(pieces(64, KIB)).await.unwrap().bytes.len(), 64 * KIB);
-    assert_eq!(read(pieces(0, KIB)).await.unwrap().bytes.len(), 0);
-    assert_eq!(read(pieces(65, KIB)).await.unwrap_err().status(), 400);
-    // An endless body ends the reading, and none of it is kept.
-    let endless = read(pieces(usize::MAX, KIB)).await.unwrap_err();
+    assert_eq!(read(body_of(64, KIB)).await.unwrap().bytes.len(), 64 * KIB);
+    assert_eq!(read(body_of(0, KIB)).await.unwrap().bytes.len(), 0);
+    assert_eq!(read(body_of(65, KIB)).await.unwrap_err().status(), 400);
+    // An endless body is not read to its end, and none of it is kept.
+    let endless = read(body_of(usize::MAX, KIB)).await.unwrap_err();
     assert_eq!(endless.status(), 413);
-    assert_eq!(budget.all.available_permits(), 1024 * KIB);
+    assert_eq!(budget.total.available_permits(), 1024 * KIB);
 }
 
-/// Bodies that never end once held their memory for as long as their connections lived.
+/// A body that never ends must not hold its memory for as long as its connection is open.
 #[tokio::test(start_paused = true)]
-async fn a_slow_sender_is_refused_in_time() {
+async fn a_body_that_stalls_is_refused_after_the_timeout() {
     let budget = BodyBudget::new(1024 * KIB);
-    let slow = Body::new(Pieces {
-        left: 3,
+    let slow = Body::new(FramedBody {
+        frames_left: 3,
         size: KIB,
-        silent: true,
+        stalls: true,
     });
     let refusal = budget.read(slow, Sender::Worker).await.unwrap_err();
-    // 400 would disown a job that was accepted before.
+    // A 400 would tell the user that a job accepted before was refused.
     assert_eq!(refusal.status(), 413);
     assert_eq!(refusal.headers()["connection"], "close");
-    assert_eq!(budget.all.available_permits(), 1024 * KIB);
+    assert_eq!(budget.total.available_permits(), 1024 * KIB);
 }
 
-/// A flood of large submissions took all of a small machine's memory. Beyond their part users are
-/// told to come back, and reports are read all the same.
+/// Large submissions may take a part of a small machine's memory only. Beyond it users are told to
+/// retry, and heartbeats are still read.
 #[tokio::test]
-async fn a_flood_of_submissions_leaves_memory_for_reports() {
+async fn a_flood_of_submissions_leaves_memory_for_heartbeats() {
     let budget = BodyBudget::new(512 * KIB);
-    let mut held = Vec::new();
+    let mut bodies = Vec::new();
     let mut refused = 0;
     for _ in 0..20 {
-        match budget.read(pieces(64, KIB), Sender::User).await {
-            Ok(body) => held.push(body),
+        match budget.read(body_of(64, KIB), Sender::User).await {
+            Ok(body) => bodies.push(body),
             Err(refusal) => {
                 assert_eq!(refusal.status(), 503);
                 assert!(refusal.headers().contains_key("retry-after"));
@@ -87,23 +87,26 @@
             }
         }
     }
-    let users_most = 512 * KIB / constants::USER_BODY_DIVISOR / (64 * KIB);
-    assert_eq!((held.len(), refused), (users_most, 20 - users_most));
-    let report = budget.read(pieces(64, KIB), Sender::Worker).await;
-    assert_eq!(report.unwrap().bytes.len(), 64 * KIB);
-    // Memory comes back with the end of what held it.
-    held.clear();
-    assert!(budget.read(pieces(64, KIB), Sender::User).await.is_ok());
+    let max_user_bodies = 512 * KIB / constants::USER_BODY_DIVISOR / (64 * KIB);
+    assert_eq!(
+        (bodies.len(), refused),
+        (max_user_bodies, 20 - max_user_bodies)
+    );
+    let heartbeat = budget.read(body_of(64, KIB), Sender::Worker).await;
+    assert_eq!(heartbeat.unwrap().bytes.len(), 64 * KIB);
+    // Memory is released when the bodies that held it are dropped.
+    bodies.clear();
+    assert!(budget.read(body_of(64, KIB), Sender::User).await.is_ok());
 }
 
-/// Reports as well have their bound; what is over it can be sent again.
+/// Heartbeats are bounded as well; one that is refused is repeated by its worker.
 #[tokio::test]
-async fn a_flood_of_reports_stays_within_the_budget() {
+async fn a_flood_of_heartbeats_stays_within_the_budget() {
     let budget = BodyBudget::new(128 * KIB);
-    let first = budget.read(pieces(64, KIB), Sender::Worker).await.unwrap();
-    let second = budget.read(pieces(64, KIB), Sender::Worker).await.unwrap();
-    let third = budget.read(pieces(1, 1), Sender::Worker).await;
+    let first = budget.read(body_of(64, KIB), Sender::Worker).await.unwrap();
+    let second = budget.read(body_of(64, KIB), Sender::Worker).await.unwrap();
+    let third = budget.read(body_of(1, 1), Sender::Worker).await;
     assert_eq!(third.unwrap_err().status(), 503);
     drop((first, second));
-    assert_eq!(budget.all.available_permits(), 128 * KIB);
+    assert_eq!(budget.total.available_permits(), 128 * KIB);
 }
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,62 +1,62 @@
-//! Cancellations: durable in the state service first, then told to all engines.
+//! Cancellations: durable in the state service first, then announced to all engines.
 
 use super::Api;
+use super::final_states::FinalState;
 use super::lookup::StoredJob;
-use super::responses::{Answer, answer, refuse, unavailable};
+use super::responses::{HttpResponse, unavailable};
 use crate::engine::{self, Command, FinalRecord, JobRecord};
 use crate::peer::Message;
 use crate::store::{StoreCall, StoreError};
 use crate::wire::store::Transaction;
-use crate::wire::user::JobState;
-use axum::http::StatusCode;
 
-/// How often a cancellation is tried when others change the job's record meanwhile.
-const ATTEMPTS: usize = 3;
+/// How often a cancellation is attempted when the job's record changes between read and write.
+const MAX_ATTEMPTS: usize = 3;
 
 impl Api {
-    pub(super) async fn cancel(&self, id: &str) -> Result<Answer, StoreError> {
-        // Again if someone changed the record between read and write.
-        for _ in 0..ATTEMPTS {
+    /// Cancels a job, and responds with its state; a job that is over stays as it is.
+    pub(super) async fn cancel(&self, id: &str) -> Result<HttpResponse, StoreError> {
+        for _ in 0..MAX_ATTEMPTS {
             let (record, version) = match self.look_up(id).await? {
-                StoredJob::Open { record, version } => (Some(record), version),
+                StoredJob::Active { record, version } => (Some(record), version),
                 StoredJob::Unreadable { version } => (None, version),
-                stored => {
-                    return Ok(match self.status(id, &stored).await? {
-                        Some(status) => answer(StatusCode::OK, &status),
-                        None => refuse(StatusCode::NOT_FOUND, "no such job"),
-                    });
+                job @ (StoredJob::Unknown | StoredJob::Final(_)) => {
+                    return self.respond_with_status(id, &job).await;
                 }
             };
-            let tasks = record.as_ref().map_or(0, |r| r.job.tasks);
-            let txn = cancellation(id, record, version, tasks);
-            match self.call(StoreCall::Commit(txn)).await {
+            let tasks = record.as_ref().map_or(0, |record| record.job.tasks);
+            let final_state = FinalState::cancelled(tasks);
+            let transaction = cancellation(id, record, version, final_state);
+            match self.call(StoreCall::Commit(transaction)).await {
                 Ok(_) => {
-                    self.remember(id, JobState::Cancelled, tasks);
+                    self.final_states.insert(id, final_state);
                     self.announce_cancellation(id);
-                    let stored = StoredJob::Final(JobState::Cancelled, tasks);
-                    return self.accepted(id, &stored).await;
+                    let job = StoredJob::Final(final_state);
+                    return self.respond_to_accepted(id, &job).await;
                 }
                 Err(StoreError::Conflict(_)) => {}
-                Err(e) => return Err(e),
+                Err(error) => return Err(error),
             }
         }
         Ok(unavailable("changing"))
     }
 
-    /// Tells all engines of a durable cancellation, so that a leader whom the state service refuses
-    /// stops the job's tasks at once. Nothing rests on it, so past its bound it is left out.
+    /// Announces a durable cancellation to all engines, so that a leader that can't reach the state
+    /// service stops the job's tasks at once. Nothing depends on it, so it is left out if too many
+    /// announcements are in progress.
     fn announce_cancellation(&self, id: &str) {
-        let Ok(permit) = self.notifications.clone().try_acquire_owned() else {
+        let Ok(permit) = self.cancellation_announcements.clone().try_acquire_owned() else {
             return;
         };
         let (commands, peers) = (self.commands.clone(), self.peers.clone());
         let job = id.to_owned();
+        // Nothing waits for the task: each of its exchanges has a timeout, and the permits bound
+        // how many such tasks there are.
         tokio::spawn(async move {
             commands.send(Command::JobCancelled((&*job).into())).await;
-            let said = Message::Cancelled { job };
+            let message = Message::Cancelled { job };
             for peer in peers.iter() {
-                if let Err(e) = peer.exchange(&said).await {
-                    tracing::debug!(peer = peer.node, "peer: {e}");
+                if let Err(error) = peer.exchange(&message).await {
+                    tracing::debug!(peer = peer.node, %error, "cancellation not announced to peer");
                 }
             }
             drop(permit);
@@ -64,22 +64,21 @@
     }
 }
 
-/// The transaction that cancels a job whose live record has that version; there is no `record` if
-/// it can't be read.
-fn cancellation(id: &str, record: Option<Box<JobRecord>>, version: u64, tasks: u64) -> Transaction {
-    let live = engine::job_key(id);
-    let txn = Transaction::default().compare(&live, version);
-    let txn = match record {
-        Some(record) => {
-            let record = record.cancelled();
-            txn.put(live, engine::job_value(&record))
-        }
-        // Nothing of a job whose record can't be read is ever started.
-        None => txn.delete(live),
-    };
-    let last = FinalRecord {
-        state: JobState::Cancelled,
-        tasks,
+/// The transaction that cancels a job whose live record has that version; `record` is `None` if it
+/// can't be read.
+fn cancellation(
+    id: &str,
+    record: Option<Box<JobRecord>>,
+    version: u64,
+    final_state: FinalState,
+) -> Transaction {
+    let key = engine::job_key(id);
+    let transaction = Transaction::default().compare(&key, version);
+    let transaction = match record {
+        Some(record) => transaction.put(key, engine::job_value(&record.cancelled())),
+        // No task of a job whose record can't be read is ever started, so there is none to stop.
+        None => transaction.delete(key),
     };
-    txn.put(engine::final_key(id), engine::final_value(&last))
+    let final_record = FinalRecord::from(final_state);
+    transaction.put(engine::final_key(id), engine::final_value(&final_record))
 }
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -3,34 +3,45 @@
 use crate::constants;
 use crate::wire::{encode, user};
 use axum::body::Body;
+use axum::http::header::{CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use axum::http::{HeaderValue, Response, StatusCode};
 
 /// The response to any request.
-pub(super) type Answer = Response<Body>;
+pub(super) type HttpResponse = Response<Body>;
 
 /// Most characters of the reason in a refusal.
-const REASON_MAX: usize = 200;
+const MAX_REASON_CHARS: usize = 200;
 
 /// A response with a message in MessagePack.
-pub(super) fn answer<T: serde::Serialize>(status: StatusCode, message: &T) -> Answer {
+pub(super) fn respond<T: serde::Serialize>(status: StatusCode, message: &T) -> HttpResponse {
     let mut response = Response::new(Body::from(encode(message)));
     *response.status_mut() = status;
-    let kind = HeaderValue::from_static("application/msgpack");
-    response.headers_mut().insert("content-type", kind);
+    let content_type = HeaderValue::from_static("application/msgpack");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// A refusal; the reason is cut to [`REASON_MAX`] characters.
-pub(super) fn refuse(status: StatusCode, why: &str) -> Answer {
-    let short: String = why.chars().take(REASON_MAX).collect();
-    answer(status, &user::Refusal { error: &short })
+/// A refusal; the reason is cut to [`MAX_REASON_CHARS`] characters.
+pub(super) fn refuse(status: StatusCode, reason: &str) -> HttpResponse {
+    let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
+    respond(status, &user::Refusal { error: &reason })
 }
 
-/// A 503 that tells when to ask again.
-pub(super) fn unavailable(why: &str) -> Answer {
-    let mut response = refuse(StatusCode::SERVICE_UNAVAILABLE, why);
-    response
-        .headers_mut()
-        .insert("retry-after", constants::RETRY_AFTER_S.into());
+/// The 404 for a job that was never accepted.
+pub(super) fn job_not_found() -> HttpResponse {
+    refuse(StatusCode::NOT_FOUND, "no such job")
+}
+
+/// A 503 that tells when to retry.
+pub(super) fn unavailable(reason: &str) -> HttpResponse {
+    let mut response = refuse(StatusCode::SERVICE_UNAVAILABLE, reason);
+    let retry_after = constants::RETRY_AFTER_S.into();
+    response.headers_mut().insert(RETRY_AFTER, retry_after);
     response
 }
+
+/// Has the connection closed after the response.
+pub(super) fn close_connection(response: &mut HttpResponse) {
+    let close = HeaderValue::from_static("close");
+    response.headers_mut().insert(CONNECTION, close);
+}
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,6 +1,6 @@
 //! Accepts connections on `front` and serves HTTP on them, with bounded memory for each.
 
-use super::limit::{Connections, LimitedListener};
+use super::connections::{Connections, LimitedListener};
 use crate::constants;
 use axum::Router;
 use axum::serve::Listener;
@@ -10,23 +10,26 @@
 use std::convert::Infallible;
 use tokio::net::TcpListener;
 
-/// Serves the routes on all connections, for ever.
+/// Serves the routes on all connections; never returns.
 pub async fn serve(listener: TcpListener, router: Router, connections: Connections) -> Infallible {
     let mut http = http1::Builder::new();
-    // The head of a request has to arrive within the time that a caller may pause: else one that sends
-    // a byte now and then would keep its connection for ever.
+    // The head of a request must arrive within the idle timeout: a client that sends a byte now and
+    // then is never idle, and would keep its connection open. hyper runs this timer between two
+    // requests as well, where it doubles that of the connection itself, which also covers the time
+    // in which a body is read or a response is written.
     http.timer(TokioTimer::new())
-        .header_read_timeout(connections.pause())
+        .header_read_timeout(connections.idle_timeout())
         .max_buf_size(constants::CONNECTION_BUFFER_BYTES);
     let mut listener = LimitedListener::new(listener, connections);
     loop {
         let (stream, _) = listener.accept().await;
         let service = TowerToHyperService::new(router.clone());
         let connection = http.serve_connection(TokioIo::new(stream), service);
+        // The task ends with its connection; timeouts and the limit on connections bound it.
         tokio::spawn(async move {
-            // Callers come and go: a connection that breaks off is nobody's mistake.
-            if let Err(e) = connection.await {
-                tracing::debug!("connection: {e}");
+            // Clients close and lose connections at any time, so this is not an error of the node.
+            if let Err(error) = connection.await {
+                tracing::debug!(%error, "connection failed");
             }
         });
     }
--- a/src/api/server/tests.rs
+++ b/src/api/server/tests.rs
@@ -6,66 +6,66 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-const PAUSE: Duration = Duration::from_secs(16);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(16);
 
-async fn served() -> (SocketAddr, Connections) {
+async fn start_server() -> (SocketAddr, Connections) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let router = Router::new().route("/", get(|| std::future::ready("here")));
-    let connections = Connections::new(4, PAUSE);
+    let connections = Connections::new(4, IDLE_TIMEOUT);
     tokio::spawn(serve(listener, router, connections.clone()));
     (addr, connections)
 }
 
-/// A sender of one byte now and then is never silent, and once kept its connection for ever.
+/// A client that sends a byte now and then is never idle, and must not keep its connection open.
 #[tokio::test(start_paused = true)]
-async fn a_head_that_comes_too_slowly_closes_its_connection() {
-    let (addr, _) = served().await;
-    let mut caller = TcpStream::connect(addr).await.unwrap();
-    let begun = Instant::now();
+async fn a_head_that_arrives_too_slowly_closes_its_connection() {
+    let (addr, _) = start_server().await;
+    let mut client = TcpStream::connect(addr).await.unwrap();
+    let started = Instant::now();
     let mut head = b"GET / HTTP/1.1\r\nx: "
         .iter()
         .chain(std::iter::repeat(&b'y'));
     loop {
         let byte = [*head.next().unwrap()];
-        if caller.write_all(&byte).await.is_err() {
+        if client.write_all(&byte).await.is_err() {
             break;
         }
-        let mut answer = [0; 256];
-        let read = tokio::time::timeout(PAUSE / 4, caller.read(&mut answer)).await;
+        let mut response = [0; 256];
+        let read = tokio::time::timeout(IDLE_TIMEOUT / 4, client.read(&mut response)).await;
         if matches!(read, Ok(Ok(0) | Err(_))) {
             break;
         }
-        assert!(begun.elapsed() < 3 * PAUSE, "still open");
+        assert!(started.elapsed() < 3 * IDLE_TIMEOUT, "still open");
     }
     assert!(
-        begun.elapsed() >= PAUSE,
-        "not sooner than a caller may pause"
+        started.elapsed() >= IDLE_TIMEOUT,
+        "closed before the timeout"
     );
 }
 
-/// Endless heads were kept up to 400 KB each: enough of them to end a small machine's process.
+/// Endless heads must not fill the memory of a small machine.
 #[tokio::test]
-async fn a_head_over_the_buffer_closes_its_connection() {
-    let (addr, _) = served().await;
-    let mut caller = TcpStream::connect(addr).await.unwrap();
+async fn a_head_larger_than_the_buffer_closes_its_connection() {
+    let (addr, _) = start_server().await;
+    let mut client = TcpStream::connect(addr).await.unwrap();
     let mut head = b"GET / HTTP/1.1\r\nx: ".to_vec();
     head.resize(3 * constants::CONNECTION_BUFFER_BYTES, b'y');
     // The connection may be closed before all is written.
-    let _ = caller.write_all(&head).await;
-    let mut answer = Vec::new();
-    // At once, not when the head has been on its way for too long.
-    let closed = tokio::time::timeout(PAUSE / 2, caller.read_to_end(&mut answer)).await;
+    let _ = client.write_all(&head).await;
+    let mut response = Vec::new();
+    // At once, not only after the idle timeout.
+    let closed = tokio::time::timeout(IDLE_TIMEOUT / 2, client.read_to_end(&mut response)).await;
     assert!(closed.is_ok(), "still open");
-    let answer = String::from_utf8_lossy(&answer);
-    assert!(!answer.starts_with("HTTP/1.1 200"), "{answer}");
-    // Others are served as before.
+    let response = String::from_utf8_lossy(&response);
+    assert!(!response.starts_with("HTTP/1.1 200"), "{response}");
+    // Other connections are still served.
     let mut other = TcpStream::connect(addr).await.unwrap();
     other
         .write_all(b"GET / HTTP/1.1\r\nhost: n\r\n\r\n")
         .await
         .unwrap();
-    let mut answer = [0; 256];
-    let read = other.read(&mut answer).await.unwrap();
-    assert!(answer[..read].starts_with(b"HTTP/1.1 200"));
+    let mut response = [0; 256];
+    let read = other.read(&mut response).await.unwrap();
+    assert!(response[..read].starts_with(b"HTTP/1.1 200"));
 }
