--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -4,11 +4,11 @@
 //! or writes a submission or cancellation there by compare-and-swap. Only a final state, which
 //! cannot change, is answered from memory.
 //!
-//! This module has the routes, and [`handlers`] a handler for each. [`submissions`] and
-//! [`cancellation`] write jobs' records, with the checks of [`submission_checks`]; [`lookup`] reads
-//! the records, [`final_states`] caches those that are final, and [`status`] makes of them what users
-//! are told. [`bodies`] reads requests' bodies, [`responses`] builds the responses, [`connections`]
-//! bounds the connections, and [`server`] serves HTTP on them.
+//! This module has the routes, and `handlers` a handler for each. `submissions` and
+//! `cancellation` write jobs' records, with the checks of `submission_checks`; `lookup` reads
+//! the records, `final_states` caches those that are final, and `status` makes of them what users
+//! are told. `bodies` reads requests' bodies, `responses` builds the responses, `connections`
+//! bounds the connections, and `server` serves HTTP on them.
 
 mod bodies;
 mod cancellation;
@@ -96,7 +96,7 @@
             .route("/submissions/{id}/cancel", post(handlers::cancel))
             .route("/ready", get(handlers::ready))
             .route("/v1/report", post(handlers::heartbeat))
-            // [`bodies`] has a limit of its own.
+            // `bodies` has a limit of its own.
             .layer(DefaultBodyLimit::disable())
             .layer(map_response(close_if_crowded))
             .with_state(self)
--- a/src/settings/capacity.rs
+++ b/src/settings/capacity.rs
@@ -10,22 +10,22 @@
 /// Most memory that a node takes, bytes, without that for the machines of the cluster, which the
 /// settings do not bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct MemoryRequirement {
+pub(super) struct MemoryRequirement {
     /// The process without any work.
-    pub process: usize,
+    pub(super) process: usize,
     /// All connections of `front`, with their buffers full.
-    pub connections: usize,
+    pub(super) connections: usize,
     /// Bodies of requests, and what is decoded from them.
-    pub request_bodies: usize,
+    pub(super) request_bodies: usize,
     /// Responses of the state service and the cloud, and what is decoded from them.
-    pub responses: usize,
+    pub(super) responses: usize,
     /// Caches of final states.
-    pub caches: usize,
+    pub(super) caches: usize,
 }
 
 impl MemoryRequirement {
     /// The requirement under these settings.
-    pub fn new(settings: &Settings) -> Self {
+    pub(super) fn new(settings: &Settings) -> Self {
         MemoryRequirement {
             process: constants::PROCESS_BASE_BYTES,
             connections: settings.front_connections() * constants::CONNECTION_BYTES,
@@ -38,7 +38,7 @@
     }
 
     /// The sum of all parts, bytes.
-    pub fn total(self) -> usize {
+    pub(super) fn total(self) -> usize {
         self.process + self.connections + self.request_bodies + self.responses + self.caches
     }
 }
@@ -50,7 +50,7 @@
     }
 
     /// How many machines, with their tasks and jobs, the rest of the memory is enough for.
-    pub fn max_machines_in_memory(&self) -> usize {
+    pub(super) fn max_machines_in_memory(&self) -> usize {
         let required = MemoryRequirement::new(self).total();
         self.memory_bytes().saturating_sub(required) / constants::MACHINE_BYTES
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
 //! Settings: the platform's TOML file, checked, and what is derived from it.
 //!
-//! [`cluster`] and [`team`] have the parts of the file, [`validation`] the checks on its values,
-//! [`timing`] the durations that follow from them, [`capacity`] the memory that a node needs,
-//! [`warning`] what operators are warned of, [`operator`] the operators' own file, and [`error`] why
+//! `cluster` and `team` have the parts of the file, `validation` the checks on its values,
+//! `timing` the durations that follow from them, `capacity` the memory that a node needs,
+//! `warning` what operators are warned of, `operator` the operators' own file, and `error` why
 //! a file is refused.
 
 mod capacity;
@@ -14,7 +14,6 @@
 mod validation;
 mod warning;
 
-pub use capacity::MemoryRequirement;
 pub use cluster::{
     Cloud, Cluster, MachineLimits, ObjectiveKind, ServiceLevelObjective, State, Workers,
 };
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,5 +1,5 @@
 //! The operators' own settings, as S-expressions. Every field has a default; an unknown one is
-//! an error, since a misspelt setting must not be passed over in silence.
+//! an error, since a misspelt setting must not be ignored.
 
 use super::error::{InvalidField, SettingsError, Violation};
 use serde::Deserialize;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,5 +1,8 @@
+use super::capacity::MemoryRequirement;
 use super::*;
+use std::error::Error;
 
+/// The platform's settings of a node, with a field that is not known.
 pub const SAMPLE: &str = r#"
 node_name = "n0"
 site = "east"
@@ -70,6 +73,20 @@
     );
 }
 
+/// An error's cause is its source, so that nothing has to be read out of its text.
+#[test]
+fn errors_carry_their_cause() {
+    let cause_of = |text: &str| {
+        let error = Settings::parse(text, "s.toml").unwrap_err();
+        error.source().map(ToString::to_string)
+    };
+    let no_toml = cause_of("((idle_s . 30.0))").unwrap();
+    assert!(!no_toml.contains("s.toml"), "{no_toml}");
+    let no_zones = SAMPLE.replace(r#"zones = ["east", "west"]"#, "zones = []");
+    let cause = "cluster.zones: expected at least one zone";
+    assert_eq!(cause_of(&no_zones).as_deref(), Some(cause));
+}
+
 #[test]
 fn front_connections_follow_from_the_machine_limits() {
     let front = |text: &str| Settings::parse(text, "s.toml").unwrap().front_connections();
@@ -101,6 +118,7 @@
             gang_peer_s: 6.0,
             cancel_s: cancel,
         });
+        // By the slowest clock that the margins allow for.
         let slow = |ms: u64| ms + ms / 2000;
         assert!(
             slow(timing.leader_grace) + slow(timing.worker_lease) + 500 < (cancel * 1000.0) as u64
@@ -115,19 +133,19 @@
 
 #[test]
 fn limits_to_come_apply_from_the_start() {
-    let with = |next: &str| {
+    let parse_with = |next: &str| {
         let text = SAMPLE.replace("txn_ops = 24", &format!("txn_ops = 24\n{next}"));
         Settings::parse(&text, "s.toml")
     };
-    let state = |next: &str| with(next).unwrap().cluster.state;
-    assert_eq!(state("").txn_ops, 24);
-    let two_given = state("[cluster.state.next]\nvalue_kb = 2.0\nwrite_rps = 80.0\nnew = 1");
+    let limits = |next: &str| parse_with(next).unwrap().cluster.state;
+    assert_eq!(limits("").txn_ops, 24);
+    let two_given = limits("[cluster.state.next]\nvalue_kb = 2.0\nwrite_rps = 80.0\nnew = 1");
     assert_eq!(
         (two_given.value_kb, two_given.write_rps, two_given.txn_ops),
         (2.0, 50.0, 24)
     );
     let all = "[cluster.state.next]\nvalue_kb = 16.0\nwrite_rps = 15\nrps = 100.0\ntxn_ops = 4";
-    let all_given = state(all);
+    let all_given = limits(all);
     assert_eq!(
         (all_given.value_kb, all_given.write_rps, all_given.rps),
         (8.0, 15.0, 100.0)
@@ -140,7 +158,7 @@
         ("write_rps = 0.0", "next.write_rps", "above 0"),
         ("txn_ops = \"many\"", "txn_ops", "expected"),
     ] {
-        let error = with(&format!("[cluster.state.next]\n{next}")).unwrap_err();
+        let error = parse_with(&format!("[cluster.state.next]\n{next}")).unwrap_err();
         let text = error.to_string();
         assert!(text.contains(field) && text.contains(allowed), "{text}");
     }
@@ -173,31 +191,33 @@
 
 #[test]
 fn machine_limits_are_checked_and_small_ones_give_a_warning() {
-    let with = |from: &str, to: &str| Settings::parse(&SAMPLE.replace(from, to), "s.toml");
+    let parse_with = |from: &str, to: &str| Settings::parse(&SAMPLE.replace(from, to), "s.toml");
     for (from, to) in [
         ("mem_mb = 98.0", "mem_mb = 0.0"),
         ("mem_mb = 98.0", "mem_mb = nan"),
         ("cpu_share = 0.12", "cpu_share = 0.0"),
         ("cpu_share = 0.12", "cpu_share = -1.0"),
     ] {
-        let text = with(from, to).unwrap_err().to_string();
+        let text = parse_with(from, to).unwrap_err().to_string();
         let field = from.split(' ').next().unwrap();
         let field = format!("cluster.machine_limits.{field}");
         assert!(text.contains(&field) && text.contains("expected"), "{text}");
     }
-    let warnings = with("mem_mb = 98.0", "mem_mb = 30.0").unwrap().warnings();
+    let warnings = parse_with("mem_mb = 98.0", "mem_mb = 30.0")
+        .unwrap()
+        .warnings();
     assert!(
         warnings[0].to_string().contains("mem_mb: 30 given"),
         "{warnings:?}"
     );
-    let warnings = with("cpu_share = 0.12", "cpu_share = 0.01")
+    let warnings = parse_with("cpu_share = 0.12", "cpu_share = 0.01")
         .unwrap()
         .warnings();
     assert!(
         warnings[0].to_string().contains("cpu_share: 0.01 given"),
         "{warnings:?}"
     );
-    let warnings = with("gpus_max = 8.0", "gpus_max = 90000.0")
+    let warnings = parse_with("gpus_max = 8.0", "gpus_max = 90000.0")
         .unwrap()
         .warnings();
     assert!(
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -18,14 +18,14 @@
 /// Most CPUs or GPUs of a team.
 pub(super) const MAX_TEAM_AMOUNT: f64 = 1e9;
 
-type Validity = Result<(), InvalidField>;
+type ValidationResult = Result<(), InvalidField>;
 
 /// Checks all values.
 ///
 /// # Errors
 ///
 /// The first field whose value is not allowed.
-pub(super) fn validate(settings: &Settings) -> Validity {
+pub(super) fn validate(settings: &Settings) -> ValidationResult {
     let cluster = &settings.cluster;
     validate_node_name(&settings.node)?;
     validate_zones(cluster)?;
@@ -39,7 +39,7 @@
     validate_cancellation_time(&cluster.workers)
 }
 
-fn validate_node_name(name: &str) -> Validity {
+fn validate_node_name(name: &str) -> ValidationResult {
     let is_too_long = name.len() > MAX_NODE_NAME_BYTES;
     if name.is_empty() || is_too_long || name.contains(char::is_whitespace) {
         return Err(InvalidField::new("node_name", Violation::NodeName));
@@ -47,14 +47,14 @@
     Ok(())
 }
 
-fn validate_zones(cluster: &Cluster) -> Validity {
+fn validate_zones(cluster: &Cluster) -> ValidationResult {
     if cluster.zones.is_empty() {
         return Err(InvalidField::new("cluster.zones", Violation::NoZones));
     }
     Ok(())
 }
 
-fn validate_positive_amounts(cluster: &Cluster) -> Validity {
+fn validate_positive_amounts(cluster: &Cluster) -> ValidationResult {
     let workers = &cluster.workers;
     let state = &cluster.state;
     let next = state.next.clone().unwrap_or_default();
@@ -84,7 +84,7 @@
     amount > 0.0 && amount <= MAX_AMOUNT
 }
 
-fn validate_state_minima(state: &State) -> Validity {
+fn validate_state_minima(state: &State) -> ValidationResult {
     let next = state.next.clone().unwrap_or_default();
     for (field, value_kb) in [
         ("cluster.state.value_kb", Some(state.value_kb)),
@@ -113,7 +113,7 @@
     Ok(())
 }
 
-fn validate_list_lag(cluster: &Cluster) -> Validity {
+fn validate_list_lag(cluster: &Cluster) -> ValidationResult {
     if !(0.0..=MAX_AMOUNT).contains(&cluster.cloud.list_lag_s) {
         let violation = Violation::OutOfRange { minimum: 0.0 };
         return Err(InvalidField::new("cluster.cloud.list_lag_s", violation));
@@ -121,7 +121,7 @@
     Ok(())
 }
 
-fn validate_machine_limits(limits: &MachineLimits) -> Validity {
+fn validate_machine_limits(limits: &MachineLimits) -> ValidationResult {
     let field = |name: &str| format!("cluster.machine_limits.{name}");
     if limits.max_connections < constants::MIN_CONNECTIONS {
         let minimum = constants::MIN_CONNECTIONS as f64;
@@ -140,7 +140,7 @@
     Ok(())
 }
 
-fn validate_team(team: &Team) -> Validity {
+fn validate_team(team: &Team) -> ValidationResult {
     for (name, amount) in [
         ("cpus", team.cpus),
         ("cpus_max", team.cpus_max),
@@ -157,7 +157,7 @@
 
 /// A leader that has not heard of a cancellation must stop renewing workers' leases early enough
 /// for them to expire in the time allowed for it: see [`super::Timing::leader_grace`].
-fn validate_cancellation_time(workers: &Workers) -> Validity {
+fn validate_cancellation_time(workers: &Workers) -> ValidationResult {
     let (cancel_s, lease_s) = (workers.cancel_s, workers.lease_s);
     if cancel_s < lease_s + constants::MIN_CANCEL_SLACK_S {
         let violation = Violation::CancellationTime { cancel_s, lease_s };
