--- a/src/api/bodies.rs
+++ b/src/api/bodies.rs
@@ -14,7 +14,7 @@
 
 /// Who sends a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Sender {
+pub(super) enum BodySender {
     /// A user: may take a part of the budget.
     User,
     /// A worker: may take all of it.
@@ -81,7 +81,7 @@
     pub(super) async fn read(
         &self,
         body: Body,
-        sender: Sender,
+        sender: BodySender,
     ) -> Result<ReceivedBody, HttpResponse> {
         let read = self.read_to_end(body, sender);
         let result = match tokio::time::timeout(constants::BODY_TIMEOUT, read).await {
@@ -91,7 +91,11 @@
         result.map_err(|error| error.to_response())
     }
 
-    async fn read_to_end(&self, mut body: Body, sender: Sender) -> Result<ReceivedBody, BodyError> {
+    async fn read_to_end(
+        &self,
+        mut body: Body,
+        sender: BodySender,
+    ) -> Result<ReceivedBody, BodyError> {
         let mut received = ReceivedBody::default();
         let mut length = 0;
         while let Some(frame) = body.frame().await {
@@ -123,11 +127,11 @@
         &self,
         received: &mut ReceivedBody,
         bytes: usize,
-        sender: Sender,
+        sender: BodySender,
     ) -> Result<(), BodyError> {
         // The caller has checked that the bytes are no more than those of a whole body.
         let permits = u32::try_from(bytes).map_err(|_| BodyError::TooLong)?;
-        let users = (sender == Sender::User).then_some(&self.users);
+        let users = (sender == BodySender::User).then_some(&self.users);
         for budget in users.into_iter().chain([&self.total]) {
             let permit = budget.clone().try_acquire_many_owned(permits);
             let permit = permit.map_err(|_| BodyError::NoMemory)?;
--- a/src/api/bodies/tests.rs
+++ b/src/api/bodies/tests.rs
@@ -44,7 +44,7 @@
 #[tokio::test]
 async fn bodies_are_read_up_to_the_size_limit() {
     let budget = BodyBudget::new(1024 * KIB);
-    let read = |body| budget.read(body, Sender::User);
+    let read = |body| budget.read(body, BodySender::User);
     assert_eq!(read(body_of(64, KIB)).await.unwrap().bytes.len(), 64 * KIB);
     assert_eq!(read(body_of(0, KIB)).await.unwrap().bytes.len(), 0);
     assert_eq!(read(body_of(65, KIB)).await.unwrap_err().status(), 400);
@@ -63,7 +63,7 @@
         size: KIB,
         stalls: true,
     });
-    let refusal = budget.read(slow, Sender::Worker).await.unwrap_err();
+    let refusal = budget.read(slow, BodySender::Worker).await.unwrap_err();
     // A 400 would tell the user that a job accepted before was refused.
     assert_eq!(refusal.status(), 413);
     assert_eq!(refusal.headers()["connection"], "close");
@@ -78,7 +78,7 @@
     let mut bodies = Vec::new();
     let mut refused = 0;
     for _ in 0..20 {
-        match budget.read(body_of(64, KIB), Sender::User).await {
+        match budget.read(body_of(64, KIB), BodySender::User).await {
             Ok(body) => bodies.push(body),
             Err(refusal) => {
                 assert_eq!(refusal.status(), 503);
@@ -92,20 +92,31 @@
         (bodies.len(), refused),
         (max_user_bodies, 20 - max_user_bodies)
     );
-    let heartbeat = budget.read(body_of(64, KIB), Sender::Worker).await;
+    let heartbeat = budget.read(body_of(64, KIB), BodySender::Worker).await;
     assert_eq!(heartbeat.unwrap().bytes.len(), 64 * KIB);
     // Memory is released when the bodies that held it are dropped.
     bodies.clear();
-    assert!(budget.read(body_of(64, KIB), Sender::User).await.is_ok());
+    assert!(
+        budget
+            .read(body_of(64, KIB), BodySender::User)
+            .await
+            .is_ok()
+    );
 }
 
 /// Heartbeats are bounded as well; one that is refused is repeated by its worker.
 #[tokio::test]
 async fn a_flood_of_heartbeats_stays_within_the_budget() {
     let budget = BodyBudget::new(128 * KIB);
-    let first = budget.read(body_of(64, KIB), Sender::Worker).await.unwrap();
-    let second = budget.read(body_of(64, KIB), Sender::Worker).await.unwrap();
-    let third = budget.read(body_of(1, 1), Sender::Worker).await;
+    let first = budget
+        .read(body_of(64, KIB), BodySender::Worker)
+        .await
+        .unwrap();
+    let second = budget
+        .read(body_of(64, KIB), BodySender::Worker)
+        .await
+        .unwrap();
+    let third = budget.read(body_of(1, 1), BodySender::Worker).await;
     assert_eq!(third.unwrap_err().status(), 503);
     drop((first, second));
     assert_eq!(budget.total.available_permits(), 128 * KIB);
--- a/src/api/handlers.rs
+++ b/src/api/handlers.rs
@@ -1,7 +1,7 @@
 //! Handlers of requests, one for each route.
 
 use super::Api;
-use super::bodies::Sender;
+use super::bodies::BodySender;
 use super::responses::{HttpResponse, job_not_found, refuse, respond, unavailable};
 use crate::engine::{Command, Reply};
 use crate::wire::decode;
@@ -15,8 +15,8 @@
 
 /// A user's submission of a job.
 pub(super) async fn submit(State(api): State<Arc<Api>>, body: Body) -> HttpResponse {
-    match api.bodies.read(body, Sender::User).await {
-        Ok(body) => api.bounded(api.submit(body.bytes())).await,
+    match api.bodies.read(body, BodySender::User).await {
+        Ok(body) => api.serve_within_limits(api.submit(body.bytes())).await,
         Err(refusal) => refusal,
     }
 }
@@ -26,7 +26,7 @@
     if !user::is_valid_id(&id) {
         return job_not_found();
     }
-    api.bounded(api.poll(&id)).await
+    api.serve_within_limits(api.poll(&id)).await
 }
 
 /// A user's cancellation of a job.
@@ -34,7 +34,7 @@
     if !user::is_valid_id(&id) {
         return job_not_found();
     }
-    api.bounded(api.cancel(&id)).await
+    api.serve_within_limits(api.cancel(&id)).await
 }
 
 /// The load balancer's readiness probe.
@@ -48,7 +48,7 @@
 
 /// A worker's heartbeat.
 pub(super) async fn heartbeat(State(api): State<Arc<Api>>, body: Body) -> HttpResponse {
-    let body = match api.bodies.read(body, Sender::Worker).await {
+    let body = match api.bodies.read(body, BodySender::Worker).await {
         Ok(body) => body,
         Err(refusal) => return refusal,
     };
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -104,7 +104,7 @@
 
     /// Carries out a user's request within bounds: one of a limited number at once, for a limited
     /// time. Beyond them, and when the state service fails, the response is a 503.
-    async fn bounded(
+    async fn serve_within_limits(
         &self,
         request: impl Future<Output = Result<HttpResponse, StoreError>> + Send,
     ) -> HttpResponse {
