--- a/src/autoscaler/startup.rs
+++ b/src/autoscaler/startup.rs
@@ -70,9 +70,7 @@
         objectives.iter().any(|objective| {
             objective.kind == ObjectiveKind::Wait
                 && objective.class.as_deref() == Some(class)
-                && objective
-                    .within_ms
-                    .is_some_and(|within_ms| self.total() > Duration::from_millis(within_ms))
+                && objective.within.is_some_and(|within| self.total() > within)
         })
     }
 }
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -95,7 +95,7 @@
     ServiceLevelObjective {
         kind: ObjectiveKind::Wait,
         class: Some("train".into()),
-        within_ms: Some(20_000),
+        within: Some(Duration::from_secs(20)),
     }
 }
 
--- a/src/engine/scheduling.rs
+++ b/src/engine/scheduling.rs
@@ -70,7 +70,8 @@
 
     /// Starts that one record of a round holds.
     pub(super) fn starts_per_record(&self) -> usize {
-        let by_size = self.context.settings().value_max() / constants::TASK_START_RECORD_BYTES;
+        let by_size =
+            self.context.settings().max_value_bytes() / constants::TASK_START_RECORD_BYTES;
         by_size.min(constants::MAX_STARTS_PER_TRANSACTION)
     }
 
@@ -157,7 +158,7 @@
             };
             let total = requested.entry(&job.spec.team).or_default();
             *total += job.spec.total_request();
-            if team.guarantee().is_some() && team.guarantee().holds(*total) {
+            if team.guarantee().is_bounded() && team.guarantee().allows(*total) {
                 within.insert(id.clone());
             }
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -88,7 +88,10 @@
         }
         tasks.spawn(endpoint.serve(back));
 
-        let connections = Connections::new(settings.front_connections(), settings.timing().pause());
+        let connections = Connections::new(
+            settings.front_connections(),
+            settings.timing().max_connection_pause(),
+        );
         let api = Api::new(settings, store, commands, status, peers);
         let router = api.router(connections.clone());
         let (never, ()) = tokio::join!(api::serve(front, router, connections), watch_tasks(tasks));
--- a/src/placement/quota.rs
+++ b/src/placement/quota.rs
@@ -27,7 +27,7 @@
     /// how many times it did.
     pub(super) fn reserve(&mut self, team: &Arc<str>, request: Resources, max_times: u32) -> u32 {
         let used = self.used_by(team);
-        let remaining = self.limits.get(team).map(|limit| limit.less(used));
+        let remaining = self.limits.get(team).map(|limit| limit.remaining(used));
         let times = remaining.map_or(0, |remaining| {
             remaining.max_multiple(request).min(max_times)
         });
