--- a/src/http.rs
+++ b/src/http.rs
@@ -199,3 +199,6 @@
         Ok(HttpResponse { status, body })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -61,6 +61,7 @@
     pub(super) async fn serve(self, listener: TcpListener) -> Infallible {
         let mut connections = JoinSet::new();
         loop {
+            // Connections report their own failures, so their ends only make room here.
             while connections.try_join_next().is_some() {}
             if connections.len() >= constants::MAX_PEER_CONNECTIONS {
                 connections.join_next().await;
