--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -163,4 +163,4 @@
 }
 
 #[cfg(test)]
-pub mod tests;
+pub(crate) mod tests;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 
 /// The platform's settings of a node, with a field that is not known.
-pub const SAMPLE: &str = r#"
+pub(crate) const SAMPLE: &str = r#"
 node_name = "n0"
 site = "east"
 front = "127.0.0.1:0"
