--- a/benches/load/cloud.rs
+++ b/benches/load/cloud.rs
@@ -1,6 +1,7 @@
 //! A cloud that rents any number of machines at once, and starts a worker for each.
 
-use crate::workers::Fleet;
+use crate::constants::{MACHINE_TYPE, ZONES};
+use crate::fleet::Fleet;
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{Query, State};
@@ -10,17 +11,12 @@
 use std::sync::Arc;
 use umbervale::wire::{cloud as wire, decode, encode};
 
-/// The one machine type: eight tasks of the load's jobs fill a machine.
-pub const MACHINE_TYPE: &str = "g8";
-/// The zones that have it.
-pub const ZONES: [&str; 2] = ["east", "west"];
-
 /// The routes of the cloud.
-pub fn router(fleet: Arc<Fleet>) -> Router {
+pub(crate) fn router(fleet: Arc<Fleet>) -> Router {
     Router::new()
         .route("/flavors", get(machine_types))
         .route("/machines", get(list).post(rent))
-        .route("/machines/return", post(take_back))
+        .route("/machines/return", post(return_machines))
         .with_state(fleet)
 }
 
@@ -54,11 +50,11 @@
     (StatusCode::OK, encode(&wire::MachineNames { machines }))
 }
 
-async fn take_back(State(fleet): State<Arc<Fleet>>, body: Bytes) -> StatusCode {
-    let Ok(named) = decode::<wire::MachineNames>(&body) else {
+async fn return_machines(State(fleet): State<Arc<Fleet>>, body: Bytes) -> StatusCode {
+    let Ok(returned) = decode::<wire::MachineNames>(&body) else {
         return StatusCode::BAD_REQUEST;
     };
-    fleet.take_back(&named.machines);
+    fleet.return_machines(&returned.machines);
     StatusCode::OK
 }
 
@@ -69,9 +65,5 @@
 }
 
 async fn list(State(fleet): State<Arc<Fleet>>, Query(query): Query<ListQuery>) -> Vec<u8> {
-    let (machines, more) = fleet.list(query.after.as_deref(), query.page);
-    encode(&wire::MachinePage {
-        machines,
-        has_more: more,
-    })
+    encode(&fleet.list(query.after.as_deref(), query.page))
 }
--- a/benches/load/process.rs
+++ b/benches/load/process.rs
@@ -7,14 +7,30 @@
 
 /// Where a node is reached, and where its files are.
 #[derive(Debug, Clone)]
-pub struct NodeAddress {
-    pub name: String,
-    pub front: SocketAddr,
-    pub back: SocketAddr,
+pub(crate) struct NodeAddress {
+    pub(crate) name: String,
+    pub(crate) front: SocketAddr,
+    pub(crate) back: SocketAddr,
+}
+
+/// Where the services of a cluster are reached.
+pub(crate) struct Services {
+    /// The state service.
+    pub(crate) state: SocketAddr,
+    /// The cloud.
+    pub(crate) cloud: SocketAddr,
+}
+
+/// Memory of a process, in MB.
+pub(crate) struct Memory {
+    /// What it holds now.
+    pub(crate) now_mb: f64,
+    /// What it has held at most.
+    pub(crate) max_mb: f64,
 }
 
 /// A running node. It ends when this is dropped.
-pub struct NodeProcess {
+pub(crate) struct NodeProcess {
     child: Child,
     /// Where callgrind writes its profiles, if the node runs under it.
     profiles: Option<PathBuf>,
@@ -22,7 +38,7 @@
 
 impl NodeProcess {
     /// Starts the program: natively, or under callgrind if it is to write profiles.
-    pub fn start(
+    pub(crate) fn start(
         settings: &Path,
         log: &Path,
         profiles: Option<PathBuf>,
@@ -44,7 +60,7 @@
     }
 
     /// Writes what was collected since the last call, and begins anew; the file that has it.
-    pub fn dump(&self, phase: &str) -> Option<PathBuf> {
+    pub(crate) fn dump(&self, phase: &str) -> Option<PathBuf> {
         let profiles = self.profiles.as_ref()?;
         let control = Command::new("callgrind_control")
             .arg(format!("--dump={phase}"))
@@ -54,23 +70,26 @@
             .status();
         control.ok().filter(|status| status.success())?;
         let numbers = 1..;
-        let files = numbers.map(|n| PathBuf::from(format!("{}.{n}", profiles.display())));
+        let files = numbers.map(|number| PathBuf::from(format!("{}.{number}", profiles.display())));
         files.take_while(|file| file.exists()).last()
     }
 
-    /// Memory that the process holds now and has held at most, MB.
-    pub fn memory_mb(&self) -> Option<(f64, f64)> {
+    /// The memory of the process.
+    pub(crate) fn memory(&self) -> Option<Memory> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let field = |name: &str| {
             let line = status.lines().find(|line| line.starts_with(name))?;
             let kib: f64 = line.split_whitespace().nth(1)?.parse().ok()?;
             Some(kib / 1024.0)
         };
-        Some((field("VmRSS:")?, field("VmHWM:")?))
+        Some(Memory {
+            now_mb: field("VmRSS:")?,
+            max_mb: field("VmHWM:")?,
+        })
     }
 
     /// Ends the process.
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         // It may have ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -96,25 +115,26 @@
     command
 }
 
+fn peer_settings(peer: &NodeAddress) -> String {
+    let NodeAddress { name, back, .. } = peer;
+    format!("[[peers]]\nnode_name = \"{name}\"\nsite = \"west\"\naddr = \"{back}\"\n")
+}
+
+fn peers_settings(node: &NodeAddress, nodes: &[NodeAddress]) -> String {
+    let peers = nodes.iter().filter(|peer| peer.name != node.name);
+    peers.map(peer_settings).collect()
+}
+
 /// The settings file of a node.
-pub fn settings(
+pub(crate) fn settings(
     node: &NodeAddress,
     nodes: &[NodeAddress],
-    state: SocketAddr,
-    cloud: SocketAddr,
+    services: &Services,
     report_s: u64,
 ) -> String {
-    let peers: String = nodes
-        .iter()
-        .filter(|peer| peer.name != node.name)
-        .map(|peer| {
-            format!(
-                "[[peers]]\nnode_name = \"{}\"\nsite = \"west\"\naddr = \"{}\"\n",
-                peer.name, peer.back
-            )
-        })
-        .collect();
-    let (name, front, back) = (&node.name, node.front, node.back);
+    let peers = peers_settings(node, nodes);
+    let NodeAddress { name, front, back } = node;
+    let Services { state, cloud } = services;
     format!(
         r#"
 node_name = "{name}"
--- a/benches/load/profile.rs
+++ b/benches/load/profile.rs
@@ -5,24 +5,24 @@
 
 /// What one function cost.
 #[derive(Debug, Default, Clone)]
-pub struct FunctionCost {
+pub(crate) struct FunctionCost {
     /// Instructions of its own.
-    pub own: u64,
+    pub(crate) own: u64,
     /// Instructions with those that it called. Too high for functions that call themselves.
-    pub inclusive: u64,
+    pub(crate) inclusive: u64,
     /// How often it was called.
-    pub calls: u64,
+    pub(crate) calls: u64,
 }
 
 /// A profile of one phase.
 #[derive(Debug, Default)]
-pub struct Profile {
-    pub functions: BTreeMap<String, FunctionCost>,
+pub(crate) struct Profile {
+    pub(crate) functions: BTreeMap<String, FunctionCost>,
 }
 
 impl Profile {
     /// Reads a profile written without compression of names and positions.
-    pub fn read(file: &Path) -> std::io::Result<Profile> {
+    pub(crate) fn read(file: &Path) -> std::io::Result<Profile> {
         let text = String::from_utf8_lossy(&std::fs::read(file)?).into_owned();
         let mut profile = Profile::default();
         let mut function = String::new();
@@ -55,18 +55,18 @@
     }
 
     /// All instructions.
-    pub fn total(&self) -> u64 {
+    pub(crate) fn total(&self) -> u64 {
         self.functions.values().map(|cost| cost.own).sum()
     }
 
     /// Calls of functions with one of these names.
-    pub fn calls_of(&self, names: &[&str]) -> u64 {
+    pub(crate) fn calls_of(&self, names: &[&str]) -> u64 {
         let functions = names.iter().filter_map(|name| self.functions.get(*name));
         functions.map(|cost| cost.calls).sum()
     }
 
     /// The functions whose names hold the text, dearest first by all that they called.
-    pub fn inclusive_of(&self, text: &str) -> Vec<(&str, &FunctionCost)> {
+    pub(crate) fn inclusive_of(&self, text: &str) -> Vec<(&str, &FunctionCost)> {
         let mut found: Vec<_> = self
             .functions
             .iter()
--- a/benches/load/state_service.rs
+++ b/benches/load/state_service.rs
@@ -15,7 +15,7 @@
 
 /// The service's data, shared by its handlers.
 #[derive(Default)]
-pub struct StateService {
+pub(crate) struct StateService {
     records: Mutex<Records>,
     changed: Notify,
 }
@@ -24,11 +24,13 @@
 
 impl StateService {
     fn records(&self) -> MutexGuard<'_, Records> {
-        self.records.lock().unwrap_or_else(|e| e.into_inner())
+        self.records
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// The routes of the service.
-    pub fn router(self: Arc<Self>) -> Router {
+    pub(crate) fn router(self: Arc<Self>) -> Router {
         Router::new()
             .route("/store", get(list))
             .route("/store/{*key}", get(read_one))
--- /dev/null
+++ b/src/engine/tests/dependencies/blocked_jobs.rs
@@ -0,0 +1,131 @@
+//! Resources, priorities and times of jobs that wait for their dependencies.
+
+use super::super::simulated_cluster::SimulatedCluster;
+use super::super::support::{
+    assert_completes, cluster_with, dependent_job, lasting_job, short_job,
+};
+use crate::model::Job;
+use crate::model::JobId;
+use crate::model::JobPhase;
+use crate::model::JobSpec;
+use crate::wire::user::JobKind;
+use crate::wire::user::Priority;
+
+/// The job as the leader knows it.
+fn known_to_leader<'a>(cluster: &'a SimulatedCluster, id: &str) -> Option<&'a Job> {
+    let leader = cluster.leader()?;
+    cluster.engine(leader)?.jobs.get(&JobId::from(id))
+}
+
+/// Guards against room held, or rented, for what can't start.
+#[test]
+fn blocked_job_reserves_no_resources() {
+    let mut first = dependent_job("run-1", JobKind::Array, 1, &[]);
+    first.expected_duration_s = 40.0;
+    let waiting = dependent_job("run-2", JobKind::Array, 8, &["run-1"]);
+    let mut cluster = cluster_with(vec![first, waiting]);
+    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert_eq!(cluster.workers.len(), 1, "nothing is rented for it");
+    // The rest of the team's limit, although the waiting job came first.
+    let mut other = dependent_job("run-3", JobKind::Gang, 7, &[]);
+    other.priority = Priority::Low;
+    cluster.submit(other);
+    assert_completes(&mut cluster, "run-3", 60_000);
+    assert_completes(&mut cluster, "run-2", 120_000);
+}
+
+#[test]
+fn dependencies_inherit_priority_and_deadline() {
+    let mut last = dependent_job("run-3", JobKind::Array, 1, &["run-2"]);
+    (last.priority, last.deadline_s) = (Priority::High, Some(60.0));
+    let mut low = dependent_job("run-1", JobKind::Array, 2, &[]);
+    low.priority = Priority::Low;
+    let mut normal = dependent_job("run-9", JobKind::Array, 2, &[]);
+    for job in [&mut low, &mut normal] {
+        (job.cpus, job.gpus) = (16.0, 4.0);
+    }
+    let mut cluster = SimulatedCluster::new(3, 8.0);
+    cluster.faults.zone_capacity = Some(1);
+    cluster.run(2_000);
+    for job in [
+        normal,
+        low,
+        dependent_job("run-2", JobKind::Array, 1, &["run-1"]),
+        last,
+    ] {
+        cluster.submit(job);
+    }
+    // There is room for two tasks, one in each zone.
+    assert!(cluster.run_until(60_000, |w| !w.started_jobs.is_empty()));
+    assert!(
+        cluster.started_jobs.contains("run-1"),
+        "{:?}",
+        cluster.started_jobs
+    );
+    assert!(!cluster.started_jobs.contains("run-9"));
+    assert_completes(&mut cluster, "run-3", 120_000);
+}
+
+/// A job that waited long for others has not waited for room.
+#[test]
+fn starvation_counts_from_readiness_and_deadline_from_submission() {
+    let mut spec = JobSpec::from(&short_job("run-1", JobKind::Array, 1));
+    spec.deadline_ms = Some(5_000);
+    let mut job = Job::new(spec, 1, 1_000, JobPhase::Open, 0);
+    let late = 1_000 + 2 * crate::constants::STARVATION_AFTER_MS;
+    assert!(job.is_starving(late));
+    job.ready_at = late - 1_000;
+    assert!(!job.is_starving(late));
+    assert_eq!(job.deadline(), 6_000);
+}
+
+/// Guards against times that start again with a new leader, and against a deadline that is put off
+/// by the wait: the due time counts from the submission, the age from when the job could begin.
+#[test]
+fn times_of_a_blocked_job_survive_a_failover() {
+    let first = lasting_job("run-1", JobKind::Array, 1, 60.0);
+    let mut last = dependent_job("run-2", JobKind::Service, 1, &["run-1"]);
+    last.deadline_s = Some(900.0);
+    let mut cluster = cluster_with(vec![first, last]);
+    let submitted = cluster.now;
+    assert!(cluster.run_until(180_000, |w| w.is_done("run-1")));
+    let ended = cluster.now;
+    assert!(cluster.run_until(5_000, |w| known_to_leader(w, "run-2").is_some()));
+    for change_of_leader in [false, true] {
+        if change_of_leader {
+            let leader = cluster.crash_leader();
+            cluster.run(6_000);
+            // All other nodes saw the job wait; this one reads its record anew.
+            for node in (0..3).filter(|node| *node != leader) {
+                cluster.crash(node);
+            }
+            cluster.start(leader);
+            assert!(cluster.run_until(20_000, |w| known_to_leader(w, "run-2").is_some()));
+        }
+        let job = known_to_leader(&cluster, "run-2").unwrap();
+        assert_eq!(job.submitted_at, submitted);
+        assert_eq!(job.deadline(), submitted + 900_000);
+        let told_of_the_end = ended - 1_000..ended + 2_000;
+        let ready = job.ready_at;
+        assert!(
+            told_of_the_end.contains(&ready),
+            "ready at {ready}, ended at {ended}"
+        );
+    }
+}
+
+/// Guards against a guarantee used up by what can't start: of two jobs that would fill it, the one
+/// that came later and does not wait has it.
+#[test]
+fn blocked_job_uses_no_team_guarantee() {
+    let first = lasting_job("run-1", JobKind::Array, 1, 300.0);
+    let waiting = dependent_job("run-2", JobKind::Array, 3, &["run-1"]);
+    let mut cluster = cluster_with(vec![first, waiting]);
+    cluster.run(100);
+    cluster.submit(short_job("run-3", JobKind::Array, 3));
+    assert!(cluster.run_until(10_000, |w| known_to_leader(w, "run-3").is_some()));
+    let leader = cluster.leader().unwrap();
+    let within_guarantee = cluster.engine(leader).unwrap().within_guarantee();
+    let within_guarantee: Vec<&str> = within_guarantee.iter().map(|id| &*id.0).collect();
+    assert_eq!(within_guarantee, ["run-1", "run-3"]);
+}
--- /dev/null
+++ b/src/engine/tests/dependencies/status_queries.rs
@@ -0,0 +1,206 @@
+//! Status queries about a blocked job, answered as the API does from records and the engine's reply.
+
+use super::super::simulated_cluster::{Millis, SimulatedCluster};
+use crate::engine::{Reply, ReplyId};
+use crate::wire::user::JobState;
+
+/// The job of the production version's records: a gang of two.
+pub(super) const ROOT: &str = "run-7";
+/// Depends on the root, and is cancelled with it.
+pub(super) const MIDDLE: &str = "run-8";
+/// Depends on the root through the middle: the job that is queried.
+pub(super) const LEAF: &str = "run-9";
+
+/// How often pending replies are looked for.
+const POLL_INTERVAL: Millis = 5;
+
+/// What a user may be told of a job.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) enum StatusAnswer {
+    /// 404.
+    NeverAccepted,
+    /// A prompt 503.
+    Unavailable,
+    /// The job's state.
+    State(JobState),
+}
+
+/// The job is cancelled.
+pub(super) const CANCELLED: StatusAnswer = StatusAnswer::State(JobState::Cancelled);
+
+/// A query that has been answered.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct AnsweredQuery {
+    node: usize,
+    asked_at: Millis,
+    answered_at: Millis,
+    /// What the user was told.
+    pub(super) answer: StatusAnswer,
+}
+
+/// A query whose answer needs the engine's reply.
+#[derive(Debug)]
+struct PendingQuery {
+    node: usize,
+    asked_at: Millis,
+    reply: ReplyId,
+}
+
+impl PendingQuery {
+    fn answered(&self, answer: StatusAnswer, now: Millis) -> AnsweredQuery {
+        AnsweredQuery {
+            node: self.node,
+            asked_at: self.asked_at,
+            answered_at: now,
+            answer,
+        }
+    }
+}
+
+/// When what decides about the queried job became durable.
+#[derive(Debug, Default)]
+pub(super) struct EventTimes {
+    /// The submission of the dependents.
+    pub(super) submitted: Option<Millis>,
+    /// The root's cancellation.
+    pub(super) cancelled: Option<Millis>,
+}
+
+/// What nodes were asked about [`LEAF`].
+#[derive(Debug, Default)]
+pub(super) struct StatusQueries {
+    pending: Vec<PendingQuery>,
+    /// Answered queries, in the order of their answers.
+    pub(super) answered: Vec<AnsweredQuery>,
+}
+
+impl StatusQueries {
+    /// Asks a node.
+    pub(super) fn ask(&mut self, cluster: &mut SimulatedCluster, node: usize) {
+        let asked_at = cluster.now;
+        match state_from_records(cluster) {
+            Some(answer) => self.answered.push(AnsweredQuery {
+                node,
+                asked_at,
+                answered_at: asked_at,
+                answer,
+            }),
+            None => self.pending.push(PendingQuery {
+                node,
+                asked_at,
+                reply: cluster.request_blocked_job_state(node, LEAF),
+            }),
+        }
+    }
+
+    /// Lets that time pass, and collects the replies that come.
+    pub(super) fn run(&mut self, cluster: &mut SimulatedCluster, duration: Millis) {
+        let end = cluster.now + duration;
+        loop {
+            self.collect_replies(cluster);
+            if cluster.now >= end {
+                return;
+            }
+            cluster.run(POLL_INTERVAL.min(end - cluster.now));
+        }
+    }
+
+    fn collect_replies(&mut self, cluster: &mut SimulatedCluster) {
+        let answered = &mut self.answered;
+        self.pending.retain(|query| {
+            let Some(reply) = cluster.take_reply(query.reply) else {
+                return true;
+            };
+            let answer = answer_of(&reply, cluster);
+            answered.push(query.answered(answer, cluster.now));
+            false
+        });
+    }
+
+    /// Asks both nodes several times.
+    pub(super) fn ask_repeatedly(
+        &mut self,
+        cluster: &mut SimulatedCluster,
+        nodes: [usize; 2],
+        times: usize,
+        pause: Millis,
+    ) {
+        for _ in 0..times {
+            for node in nodes {
+                self.ask(cluster, node);
+            }
+            self.run(cluster, pause);
+        }
+    }
+
+    /// Checks that no answer contradicts what was durable before its query, or an earlier answer.
+    pub(super) fn check(&self, times: &EventTimes, context: &str) {
+        for query in &self.answered {
+            query.check_times(times, context);
+            let earlier = self.answered.iter();
+            for earlier in earlier.filter(|it| it.answered_at <= query.asked_at) {
+                let reverted = earlier.answer == CANCELLED && query.answer != CANCELLED;
+                assert!(
+                    query.is_unavailable() || !reverted,
+                    "{context}: no longer cancelled, {query:?} after {earlier:?}"
+                );
+            }
+        }
+    }
+}
+
+impl AnsweredQuery {
+    fn is_unavailable(&self) -> bool {
+        self.answer == StatusAnswer::Unavailable
+    }
+
+    /// Checks the answer against what was durable when the node was asked.
+    fn check_times(&self, times: &EventTimes, context: &str) {
+        let after = |time: Option<Millis>| time.is_some_and(|time| self.asked_at > time);
+        if after(times.submitted) {
+            assert_ne!(
+                self.answer,
+                StatusAnswer::NeverAccepted,
+                "{context}: {self:?}"
+            );
+        }
+        if after(times.cancelled) && after(times.submitted) {
+            let consistent = self.is_unavailable() || self.answer == CANCELLED;
+            let (node, cancelled) = (self.node, times.cancelled);
+            assert!(
+                consistent,
+                "{context}: not cancelled at n{node}, {self:?} after {cancelled:?}"
+            );
+        }
+        if times.cancelled.is_none() {
+            assert_ne!(self.answer, CANCELLED, "{context}: {self:?}");
+        }
+    }
+}
+
+fn answer_of(reply: &Reply, cluster: &SimulatedCluster) -> StatusAnswer {
+    match reply {
+        Reply::BlockedJobState(Some(state)) => StatusAnswer::State(*state),
+        Reply::BlockedJobState(None) => {
+            state_from_records(cluster).unwrap_or(StatusAnswer::Unavailable)
+        }
+        _ => StatusAnswer::Unavailable,
+    }
+}
+
+/// What the records alone tell; none if the engine has to be asked.
+fn state_from_records(cluster: &SimulatedCluster) -> Option<StatusAnswer> {
+    let Some(record) = cluster.live_record(LEAF) else {
+        let state = cluster.final_state(LEAF);
+        return Some(state.map_or(StatusAnswer::NeverAccepted, StatusAnswer::State));
+    };
+    if record.cancelled {
+        Some(CANCELLED)
+    } else if record.waits() {
+        None
+    } else if cluster.running_tasks(LEAF) > 0 {
+        Some(StatusAnswer::State(JobState::Running))
+    } else {
+        Some(StatusAnswer::State(JobState::Queued))
+    }
+}
--- a/src/engine/tests/leader_change_at_scale.rs
+++ b/src/engine/tests/failover_at_scale.rs
@@ -1,26 +1,25 @@
 //! A fleet with work on all machines, through a change of leader with everything else going wrong at
 //! once: in a small size, and by a command of its own at 4,000 machines.
 
-use super::large::fleet;
-use super::short_job;
-use super::simulated_cluster::SimulatedCluster;
-use crate::model::Ms;
+use super::large_fleet::fleet;
+use super::simulated_cluster::{Millis, SimulatedCluster};
+use super::support::short_job;
 use crate::wire::user::JobKind;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
 /// How long zones are cut off from each other: well within the grace.
-const CUT_MS: Ms = 8_000;
+const CUT_MS: Millis = 8_000;
 /// How long after the last fault everything has to run again.
-const RECOVERY_MS: Ms = 240_000;
+const RECOVERY_MS: Millis = 240_000;
 
 /// What a run came to.
 struct Outcome {
     /// From the leader's end to the first start that its successor sent.
-    first_start_ms: Ms,
+    first_start_ms: Millis,
     /// From the leader's end until all tasks ran again.
-    recovered_ms: Ms,
+    recovered_ms: Millis,
     /// Machines that hung.
     hung: usize,
 }
@@ -48,8 +47,7 @@
     cluster.faults.zones_partitioned = true;
     cluster.faults.machine_list_delay = random.random_range(2_000..10_000);
     let (starts, term, ended_at) = (cluster.starts, cluster.term(), cluster.now);
-    let leader = cluster.leader().unwrap();
-    cluster.crash(leader);
+    let leader = cluster.crash_leader();
     cluster.submit(short_job("run-9", JobKind::Array, 40));
     let started = |w: &SimulatedCluster| w.starts > starts;
     let during_cut = cluster.run_until(CUT_MS, started).then_some(cluster.now);
@@ -70,7 +68,7 @@
     assert_eq!(cluster.waiting_jobs(), Vec::<String>::new(), "seed {seed}");
     let lost = alive
         .iter()
-        .filter(|m| cluster.returned_machines.contains(m));
+        .filter(|machine| cluster.returned_machines.contains(machine));
     assert_eq!(lost.count(), 0, "seed {seed}: returned though alive");
     assert_eq!(cluster.violations, Vec::<String>::new(), "seed {seed}");
     Outcome {
--- a/src/engine/tests/large.rs
+++ b/src/engine/tests/large_fleet.rs
@@ -1,13 +1,14 @@
 //! Fleets of the size that the service is built for.
 
-use super::short_job;
 use super::simulated_cluster::{SimulatedCluster, UNLIMITED_GPUS};
+use super::support::{lasting_job, short_job};
 use crate::constants;
 use crate::wire::user::{JobKind, Priority};
+use crate::wire::worker::Heartbeat;
 use std::time::Duration;
 
 /// A fleet with four tasks on each machine: services first, then arrays that run long.
-pub fn fleet(machines: usize) -> SimulatedCluster {
+pub(crate) fn fleet(machines: usize) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(3, UNLIMITED_GPUS);
     cluster.page_items = constants::STORE_LIST_PAGE_ITEMS as usize;
     cluster.run(2_000);
@@ -15,8 +16,7 @@
     for n in 0..tasks / 80 {
         let mut service = short_job(&format!("run-1{n}"), JobKind::Service, 8);
         (service.priority, service.spread_zones) = (Priority::Production, true);
-        let mut array = short_job(&format!("run-2{n}"), JobKind::Array, 72);
-        array.expected_duration_s = 3_000.0;
+        let array = lasting_job(&format!("run-2{n}"), JobKind::Array, 72, 3_000.0);
         cluster.submit(service);
         cluster.submit(array);
     }
@@ -74,8 +74,7 @@
             cluster.longest_steps
         );
         cluster.longest_steps.clear();
-        let leader = cluster.leader().unwrap();
-        cluster.crash(leader);
+        cluster.crash_leader();
         cluster.submit(short_job("run-9", JobKind::Array, 40));
         cluster.run(30_000);
         println!(
@@ -85,7 +84,18 @@
     }
 }
 
-/// All workers find the new leader within a second, with late copies among their reports. Each is
+/// The last heartbeat of each of these machines.
+fn last_heartbeats<'a>(
+    cluster: &SimulatedCluster,
+    machines: impl IntoIterator<Item = &'a String>,
+) -> Vec<Heartbeat> {
+    let heartbeats = machines.into_iter();
+    heartbeats
+        .filter_map(|machine| cluster.heartbeats_of(machine).pop())
+        .collect()
+}
+
+/// All workers find the new leader within a second, with late copies among their heartbeats. Each is
 /// heard, keeps its lease and its tasks, and gets work; nobody else takes over.
 #[test]
 fn large_fleet_reports_after_a_failover() {
@@ -93,12 +103,8 @@
     // Until a machine that has not come up would be given up on.
     cluster.run(30_000);
     let (busy, starts, term) = (cluster.busy_machines(), cluster.starts, cluster.term());
-    let copies: Vec<_> = busy
-        .iter()
-        .flat_map(|m| cluster.heartbeats_of(m).pop())
-        .collect();
-    let leader = cluster.leader().unwrap();
-    cluster.crash(leader);
+    let copies = last_heartbeats(&cluster, &busy);
+    cluster.crash_leader();
     cluster.run(3_000);
     cluster.heartbeat_all_within(1_000);
     for copies in copies.chunks(200) {
@@ -114,7 +120,12 @@
         (cluster.all_running_tasks(), cluster.starts),
         (7_600, starts + 40)
     );
-    assert!(!cluster.returned_machines.iter().any(|m| busy.contains(m)));
+    assert!(
+        !cluster
+            .returned_machines
+            .iter()
+            .any(|machine| busy.contains(machine))
+    );
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
@@ -124,20 +135,14 @@
 fn tasks_of_half_a_large_fleet_are_placed_again() {
     let mut cluster = fleet(1_000);
     let dead: Vec<String> = cluster.workers.keys().step_by(2).cloned().collect();
-    let lost: u64 = dead
-        .iter()
-        .map(|m| cluster.workers[m].tasks.len() as u64)
-        .sum();
+    let tasks_on = |machine: &String| cluster.workers[machine].tasks.len() as u64;
+    let lost: u64 = dead.iter().map(tasks_on).sum();
     let starts = cluster.starts;
     let services = cluster.running_tasks_of_jobs("run-1");
-    let copies: Vec<_> = dead
-        .iter()
-        .flat_map(|m| cluster.heartbeats_of(m).pop())
-        .collect();
+    let copies = last_heartbeats(&cluster, &dead);
     cluster.faults.hung_machines.extend(dead.iter().cloned());
     cluster.run(17_500);
-    let leader = cluster.leader().unwrap();
-    cluster.crash(leader);
+    let leader = cluster.crash_leader();
     cluster.run(300);
     cluster.start(leader);
     // Nothing but a return proves that the tasks of a hung machine are gone.
@@ -164,6 +169,9 @@
         "services first"
     );
     assert_eq!(cluster.starts, starts + lost);
-    assert!(dead.iter().all(|m| cluster.returned_machines.contains(m)));
+    assert!(
+        dead.iter()
+            .all(|machine| cluster.returned_machines.contains(machine))
+    );
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
--- a/src/engine/tests/large_gangs.rs
+++ b/src/engine/tests/large_gangs.rs
@@ -1,8 +1,7 @@
 //! Gangs whose starts one transaction does not hold: their rounds are written by several.
 
-use super::simulated_cluster::{SimulatedCluster, UNLIMITED_GPUS};
-use super::{assert_completes, short_job};
-use crate::model::Ms;
+use super::simulated_cluster::{Millis, SimulatedCluster, UNLIMITED_GPUS};
+use super::support::{JobChanges, assert_completes, lasting_job, short_job};
 use crate::wire::user::{JobKind, JobSubmission};
 
 /// The least limits that the settings allow: 128 starts a transaction.
@@ -12,9 +11,7 @@
 
 /// A gang that takes three transactions.
 fn gang() -> JobSubmission {
-    let mut gang = short_job("run-1", JobKind::Gang, 300);
-    gang.expected_duration_s = 60.0;
-    gang
+    lasting_job("run-1", JobKind::Gang, 300, 60.0)
 }
 
 fn cluster() -> SimulatedCluster {
@@ -38,7 +35,7 @@
 }
 
 #[track_caller]
-fn leaves_nothing(cluster: &mut SimulatedCluster, within: Ms) {
+fn leaves_nothing(cluster: &mut SimulatedCluster, within: Millis) {
     let left = |w: &SimulatedCluster| {
         w.count_keys("rounds/") + w.count_keys("live/job/") + w.count_keys("work/")
     };
@@ -70,8 +67,7 @@
             run_to_records(&mut cluster, records);
             let starts = cluster.starts;
             assert_eq!(starts, 0, "no start before the whole round is durable");
-            let leader = cluster.leader().unwrap();
-            cluster.crash(leader);
+            let leader = cluster.crash_leader();
             if let Some(away) = away {
                 cluster.run(away);
                 cluster.start(leader);
@@ -95,8 +91,7 @@
         cluster.count_keys("rounds/") > 0,
         "removed in several transactions"
     );
-    let leader = cluster.leader().unwrap();
-    cluster.crash(leader);
+    cluster.crash_leader();
     leaves_nothing(&mut cluster, 60_000);
     assert_eq!(cluster.starts, 300);
 }
@@ -120,18 +115,14 @@
 /// round does not use.
 #[test]
 fn other_rounds_are_committed_while_a_large_one_is_written() {
-    let in_zone = |zone: &str, job: JobSubmission| JobSubmission {
-        zone: Some(zone.into()),
-        ..job
-    };
     let mut cluster = cluster();
-    cluster.submit(in_zone("west", short_job("run-2", JobKind::Service, 1)));
+    cluster.submit(short_job("run-2", JobKind::Service, 1).in_zone("west"));
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-2") == 1));
-    cluster.submit(in_zone("east", short_job("run-1", JobKind::Gang, 1_500)));
+    cluster.submit(short_job("run-1", JobKind::Gang, 1_500).in_zone("east"));
     run_to_records(&mut cluster, 5);
     // 47 records in twelve transactions, each answered after this time.
     cluster.faults.store_delay = 1_000;
-    cluster.submit(in_zone("west", short_job("run-3", JobKind::Array, 1)));
+    cluster.submit(short_job("run-3", JobKind::Array, 1).in_zone("west"));
     assert!(cluster.run_until(8_000, |w| w.started_jobs.contains("run-3")));
     assert!(!cluster.started_jobs.contains("run-1"));
     cluster.faults.store_delay = 0;
--- a/src/engine/tests/machine_lists.rs
+++ b/src/engine/tests/machine_lists.rs
@@ -1,7 +1,7 @@
 //! Lists of machines that the cloud gets wrong.
 
 use super::simulated_cluster::{ListFault, SimulatedCluster};
-use super::{cluster_with, short_job};
+use super::support::{cluster_with, short_job};
 use crate::constants;
 use crate::wire::user::JobKind;
 
@@ -35,7 +35,8 @@
             (4, starts)
         );
         assert!(
-            busy.iter().all(|m| !cluster.returned_machines.contains(m)),
+            busy.iter()
+                .all(|machine| !cluster.returned_machines.contains(machine)),
             "{fault:?}"
         );
         assert_eq!(cluster.violations, Vec::<String>::new());
@@ -66,7 +67,10 @@
     cluster.submit(short_job("run-2", JobKind::Array, 8));
     cluster.run(60_000);
     assert_eq!(cluster.workers.len(), machines, "nothing rented");
-    assert!(busy.iter().all(|m| !cluster.returned_machines.contains(m)));
+    assert!(
+        busy.iter()
+            .all(|machine| !cluster.returned_machines.contains(machine))
+    );
     cluster.faults.machine_list = ListFault::None;
     assert!(cluster.run_until(120_000, |w| w.is_done("run-2")));
     assert_eq!(
--- a/src/engine/tests/guards.rs
+++ b/src/engine/tests/message_reordering.rs
@@ -1,7 +1,7 @@
 //! Guards that matter only when messages cross: each test fails if its guard is taken out.
 
 use super::simulated_cluster::SimulatedCluster;
-use super::{assert_completes, cluster_with, short_job};
+use super::support::{assert_completes, cluster_with, lasting_job, short_job};
 use crate::engine::records;
 use crate::wire::user::{JobKind, JobState};
 use crate::wire::worker::{Task, TaskState};
@@ -93,15 +93,13 @@
 fn overtaken_watch_reply_changes_nothing() {
     const LATE: u64 = 900;
     for offset in [0, 130, 260, 390] {
-        let mut first = short_job("run-1", JobKind::Service, 1);
-        first.expected_duration_s = 300.0;
+        let first = lasting_job("run-1", JobKind::Service, 1, 300.0);
         let mut second = short_job("run-2", JobKind::Array, 1);
         second.depends_on = vec!["run-1".into()];
         let mut cluster = cluster_with(vec![first, second]);
         cluster.run(20_000);
         // Nobody writes the dependant's end.
-        let leader = cluster.leader().unwrap();
-        cluster.crash(leader);
+        let leader = cluster.crash_leader();
         let node = (leader + 1) % 3;
         cluster.run(offset);
         cluster.faults.watch_delay.insert(node, LATE);
--- a/src/engine/tests/replay/coverage.rs
+++ b/src/engine/tests/replay/coverage.rs
@@ -123,7 +123,7 @@
 /// The name of a variant of the script's own types.
 fn variant(value: &impl std::fmt::Debug) -> String {
     let text = format!("{value:?}");
-    let end = text.find(|c: char| !c.is_alphanumeric());
+    let end = text.find(|letter: char| !letter.is_alphanumeric());
     text[..end.unwrap_or(text.len())].to_owned()
 }
 
--- a/src/engine/tests/replay/mirror.rs
+++ b/src/engine/tests/replay/mirror.rs
@@ -23,14 +23,14 @@
 }
 
 /// Lets the engine take a step of the script.
-pub fn step(engine: &mut Engine, step: &script::Step) -> script::Outcome {
+pub(crate) fn step(engine: &mut Engine, step: &script::Step) -> script::Outcome {
     let commands: Vec<Command> = step.commands.iter().map(command_of).collect();
     let effects = engine.step(step.now, step.unix_time, commands);
     outcome(&effects, &engine.view())
 }
 
 /// What a step has produced.
-pub fn outcome(effects: &[Effect], view: &EngineStatus) -> script::Outcome {
+pub(crate) fn outcome(effects: &[Effect], view: &EngineStatus) -> script::Outcome {
     script::Outcome {
         effects: effects.iter().map(record_effect).collect(),
         status: script::Status {
@@ -45,7 +45,7 @@
 }
 
 /// A command as it is kept in a script.
-pub fn record_command(command: &Command) -> script::Command {
+pub(crate) fn record_command(command: &Command) -> script::Command {
     match command {
         Command::Heartbeat { heartbeat, reply } => script::Command::Heartbeat {
             body: body(heartbeat),
--- a/src/engine/tests/replay/mod.rs
+++ b/src/engine/tests/replay/mod.rs
@@ -10,8 +10,8 @@
 mod scenarios;
 mod script;
 
-pub use recorder::{Input, Recorder};
-pub use script::{Process, Script};
+pub(crate) use recorder::{Input, Recorder};
+pub(crate) use script::{Process, Script};
 
 use super::simulated_cluster::settings_of;
 use crate::engine::Engine;
--- a/src/engine/tests/replay/recorder.rs
+++ b/src/engine/tests/replay/recorder.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-pub struct Recorder {
+pub(crate) struct Recorder {
     script: Script,
     /// The process in the script that each node runs now.
     current: BTreeMap<usize, usize>,
@@ -14,14 +14,20 @@
 
 impl Recorder {
     /// A node's process starts.
-    pub fn start(&mut self, process: Process) {
+    pub(crate) fn start(&mut self, process: Process) {
         let position = self.script.processes.len();
         self.current.insert(process.node, position);
         self.script.processes.push(process);
     }
 
     /// A node's engine took a step.
-    pub fn record(&mut self, node: usize, input: Input, effects: &[Effect], view: &EngineStatus) {
+    pub(crate) fn record(
+        &mut self,
+        node: usize,
+        input: Input,
+        effects: &[Effect],
+        view: &EngineStatus,
+    ) {
         let position = self.current[&node];
         self.script.processes[position].steps.push(Step {
             now: input.now,
@@ -31,20 +37,20 @@
         });
     }
 
-    pub fn finish(self) -> Script {
+    pub(crate) fn finish(self) -> Script {
         self.script
     }
 }
 
 /// What a step was given, taken before the engine consumes it.
-pub struct Input {
+pub(crate) struct Input {
     now: u64,
     unix_time: u64,
     commands: Vec<Command>,
 }
 
 impl Input {
-    pub fn new(now: u64, unix_time: u64, commands: &[engine::Command]) -> Input {
+    pub(crate) fn new(now: u64, unix_time: u64, commands: &[engine::Command]) -> Input {
         Input {
             now,
             unix_time,
--- /dev/null
+++ b/src/engine/tests/replay/scenarios/mod.rs
@@ -0,0 +1,68 @@
+//! The simulated clusters whose engines are recorded.
+
+mod faults;
+mod jobs;
+mod load;
+
+use super::script::Script;
+use crate::engine::tests::simulated_cluster::SimulatedCluster;
+
+/// A scenario with the name of its file.
+pub(crate) struct Scenario {
+    pub(crate) name: &'static str,
+    /// The team's limit.
+    gpus_max: f64,
+    play: fn(&mut SimulatedCluster),
+}
+
+impl Scenario {
+    pub(crate) fn record(&self) -> Script {
+        let mut cluster = SimulatedCluster::new(3, self.gpus_max);
+        cluster.start_recording();
+        (self.play)(&mut cluster);
+        cluster.finish_recording()
+    }
+}
+
+pub(crate) const SCENARIOS: [Scenario; 8] = [
+    Scenario {
+        name: "kinds",
+        gpus_max: 12.0,
+        play: jobs::jobs_of_all_kinds_and_a_leader_lost,
+    },
+    Scenario {
+        name: "dependencies",
+        gpus_max: 12.0,
+        play: jobs::dependencies_and_cancellations,
+    },
+    Scenario {
+        name: "preemption",
+        gpus_max: 40.0,
+        play: load::preemption_and_reclaimed_machines,
+    },
+    Scenario {
+        name: "machines",
+        gpus_max: 12.0,
+        play: faults::machines_lost_and_wrong_lists,
+    },
+    Scenario {
+        name: "partitions",
+        gpus_max: 12.0,
+        play: faults::partitions_and_unanswered_calls,
+    },
+    Scenario {
+        name: "consolidation",
+        gpus_max: 12.0,
+        play: faults::consolidation_of_half_empty_machines,
+    },
+    Scenario {
+        name: "load",
+        gpus_max: 48.0,
+        play: load::load_in_batches,
+    },
+    Scenario {
+        name: "starvation",
+        gpus_max: 400.0,
+        play: load::a_large_gang_under_a_stream_of_small_work,
+    },
+];
--- a/src/engine/tests/replay/script.rs
+++ b/src/engine/tests/replay/script.rs
@@ -8,44 +8,44 @@
 
 /// All engine processes of one simulated cluster, in the order of their start.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Script {
-    pub processes: Vec<Process>,
+pub(crate) struct Script {
+    pub(crate) processes: Vec<Process>,
 }
 
 /// One engine from its start to its end.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub struct Process {
+pub(crate) struct Process {
     /// The settings file, before node name, zone and peers are filled in.
-    pub settings: String,
+    pub(crate) settings: String,
     /// Which of the nodes this one is, and how many there are.
-    pub node: usize,
-    pub nodes: usize,
+    pub(crate) node: usize,
+    pub(crate) nodes: usize,
     /// Seed of the engine's random generator.
-    pub seed: u64,
-    pub steps: Vec<Step>,
+    pub(crate) seed: u64,
+    pub(crate) steps: Vec<Step>,
 }
 
 /// One call of the engine with its outcome.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub struct Step {
+pub(crate) struct Step {
     /// Milliseconds since the process started.
-    pub now: u64,
+    pub(crate) now: u64,
     /// Time of day, milliseconds.
-    pub unix_time: u64,
-    pub commands: Vec<Command>,
-    pub outcome: Outcome,
+    pub(crate) unix_time: u64,
+    pub(crate) commands: Vec<Command>,
+    pub(crate) outcome: Outcome,
 }
 
 /// What a step produces.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub struct Outcome {
-    pub effects: Vec<Effect>,
+pub(crate) struct Outcome {
+    pub(crate) effects: Vec<Effect>,
     /// What the node shows of the engine after the step.
-    pub status: Status,
+    pub(crate) status: Status,
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum Command {
+pub(crate) enum Command {
     Heartbeat { body: Body, reply: u64 },
     TaskCounts { job: String, reply: u64 },
     StoreAnswer { call: u64, answer: StoreAnswer },
@@ -58,14 +58,14 @@
 
 /// What a peer says of itself.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub struct Announcement {
-    pub node: String,
-    pub term: u64,
-    pub store_ok: bool,
+pub(crate) struct Announcement {
+    pub(crate) node: String,
+    pub(crate) term: u64,
+    pub(crate) store_ok: bool,
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum StoreAnswer {
+pub(crate) enum StoreAnswer {
     Item(Option<Body>),
     Listing(Body),
     Committed { revision: u64 },
@@ -81,7 +81,7 @@
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum CloudAnswer {
+pub(crate) enum CloudAnswer {
     Types(Body),
     Rented(Vec<String>),
     Returned,
@@ -91,7 +91,7 @@
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum Effect {
+pub(crate) enum Effect {
     Reply {
         to: u64,
         reply: Reply,
@@ -112,7 +112,7 @@
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub(crate) enum Reply {
     HeartbeatAnswer(Body),
     Redirect(Option<String>),
     Unavailable,
@@ -122,7 +122,7 @@
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum StoreRequest {
+pub(crate) enum StoreRequest {
     Get {
         key: String,
     },
@@ -148,7 +148,7 @@
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub enum CloudRequest {
+pub(crate) enum CloudRequest {
     Types,
     Rent(Body),
     Return(Vec<String>),
@@ -156,29 +156,29 @@
 }
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub struct Status {
-    pub ready: bool,
-    pub leading: bool,
-    pub term: u64,
-    pub leader: Option<String>,
-    pub types_known: bool,
-    pub store_ok: bool,
+pub(crate) struct Status {
+    pub(crate) ready: bool,
+    pub(crate) leading: bool,
+    pub(crate) term: u64,
+    pub(crate) leader: Option<String>,
+    pub(crate) types_known: bool,
+    pub(crate) store_ok: bool,
 }
 
 /// An encoded message of the protocol, kept as bytes and shown decoded.
 #[derive(PartialEq, Serialize, Deserialize)]
-pub struct Body(rmpv::Value);
+pub(crate) struct Body(rmpv::Value);
 
 impl Body {
-    pub fn new(bytes: Vec<u8>) -> Body {
+    pub(crate) fn new(bytes: Vec<u8>) -> Body {
         Body(rmpv::Value::Binary(bytes))
     }
 
-    pub fn bytes(&self) -> &[u8] {
+    pub(crate) fn bytes(&self) -> &[u8] {
         self.0.as_slice().unwrap()
     }
 
-    pub fn decoded(&self) -> rmpv::Value {
+    pub(crate) fn decoded(&self) -> rmpv::Value {
         rmp_serde::from_slice(self.bytes()).unwrap()
     }
 }
--- a/src/engine/tests/simulated_cluster/mod.rs
+++ b/src/engine/tests/simulated_cluster/mod.rs
@@ -166,9 +166,7 @@
             batch_window: None,
             recorder: None,
         };
-        for node in 0..nodes {
-            cluster.start(node);
-        }
+        cluster.start_all_nodes();
         cluster
     }
 
--- a/src/engine/tests/simulated_cluster/nodes.rs
+++ b/src/engine/tests/simulated_cluster/nodes.rs
@@ -94,6 +94,29 @@
         self.store.end_watches_of(node);
     }
 
+    /// Ends the leader's process; the node that led.
+    pub(crate) fn crash_leader(&mut self) -> usize {
+        let leader = self.leader().unwrap();
+        self.crash(leader);
+        leader
+    }
+
+    /// Ends the processes of all nodes.
+    pub(crate) fn crash_all_nodes(&mut self) {
+        for node in 0..self.nodes.len() {
+            self.crash(node);
+        }
+    }
+
+    /// Starts all nodes whose process is down.
+    pub(crate) fn start_all_nodes(&mut self) {
+        for node in 0..self.nodes.len() {
+            if self.engine(node).is_none() {
+                self.start(node);
+            }
+        }
+    }
+
     /// Ends a node's process, and starts it again that much later.
     pub(crate) fn restart(&mut self, node: usize, downtime: Millis) {
         self.crash(node);
@@ -104,7 +127,7 @@
     /// The node that leads, by the latest term if several think that they do.
     pub(crate) fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
-            .filter(|node| self.engine(*node).is_some_and(|e| e.view().leading))
+            .filter(|node| self.engine(*node).is_some_and(|it| it.view().leading))
             .max_by_key(|node| self.engine(*node).map(|engine| engine.view().term))
     }
 
--- a/src/engine/tests/links.rs
+++ b/src/engine/tests/slow_links.rs
@@ -1,29 +1,27 @@
 //! Slow links: each message takes a time of its own, up to a bound, so that answers come late and
 //! overtake one another, with more work than room.
 
-use super::short_job;
-use super::simulated_cluster::SimulatedCluster;
-use crate::model::Ms;
+use super::simulated_cluster::{Millis, SimulatedCluster};
+use super::support::{lasting_job, short_job, whole_machine_gang};
 use crate::wire::user::{JobKind, JobSubmission, Priority};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 /// The longest that anything may wait for its start.
-const LONGEST_WAIT: Ms = 240_000;
+const LONGEST_WAIT: Millis = 240_000;
 /// The longest that a job may wait beside free room that it fits into.
-const LONGEST_BESIDE_ROOM: Ms = 90_000;
+const LONGEST_BESIDE_ROOM: Millis = 90_000;
 
 /// The largest jobs of each kind, and when each was submitted.
 fn large_jobs() -> [JobSubmission; 2] {
-    let mut gang = short_job("run-gang", JobKind::Gang, 8);
-    (gang.gpus, gang.single_zone) = (4.0, true);
-    (gang.cpus, gang.memory_gb) = (16.0, 64.0);
+    let mut gang = whole_machine_gang("run-gang", 8);
+    gang.single_zone = true;
     let mut array = short_job("run-array", JobKind::Array, 150);
     array.priority = Priority::Low;
     [gang, array]
 }
 
-fn cluster_with_jitter(seed: u64, slow_links: Ms) -> SimulatedCluster {
+fn cluster_with_jitter(seed: u64, slow_links: Millis) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(3, 400.0);
     // Eight machines in each zone.
     cluster.faults.zone_capacity = Some(8);
@@ -39,8 +37,7 @@
     for second in 0..seconds {
         for _ in 0..3 {
             *submitted += 1;
-            let mut job = short_job(&format!("run-{submitted}"), JobKind::Array, 2);
-            job.expected_duration_s = 16.0;
+            let mut job = lasting_job(&format!("run-{submitted}"), JobKind::Array, 2, 16.0);
             if second % 2 == 0 {
                 job.priority = Priority::High;
             }
--- a/src/engine/tests/stored.rs
+++ b/src/engine/tests/stored_records.rs
@@ -2,7 +2,7 @@
 //! records are given as the bytes that it wrote.
 
 use super::simulated_cluster::{SimulatedCluster, UNLIMITED_GPUS};
-use super::{assert_completes, short_job};
+use super::support::{assert_completes, short_job};
 use crate::engine::records::{self, RoundRecord};
 use crate::model::TaskSet;
 use crate::wire::user::{JobKind, JobState};
@@ -27,14 +27,10 @@
 
 /// No node is up while the records are put.
 fn without_nodes(cluster: &mut SimulatedCluster, put_records: impl Fn(&mut SimulatedCluster)) {
-    for node in 0..3 {
-        cluster.crash(node);
-    }
+    cluster.crash_all_nodes();
     cluster.run(6_000);
     put_records(cluster);
-    for node in 0..3 {
-        cluster.start(node);
-    }
+    cluster.start_all_nodes();
 }
 
 /// A job's record, and the job itself for the cluster's account of the rules.
@@ -191,7 +187,7 @@
     let records = parts.map(|part| records::read::<RoundRecord>(part).unwrap());
     let starts = records.into_iter().flat_map(|record| record.starts);
     let on_machine = |(_, machine, tasks): (String, String, Vec<u32>)| {
-        tasks.into_iter().map(move |t| (machine.clone(), t))
+        tasks.into_iter().map(move |task| (machine.clone(), task))
     };
     starts.flat_map(on_machine).collect()
 }
--- a/tests/bad_input/bounds.rs
+++ b/tests/bad_input/bounds.rs
@@ -27,8 +27,10 @@
     Value::Array(ids.collect())
 }
 
-/// Fields with values at their bounds and beyond, and a name for each.
-fn bounded_values() -> Vec<(&'static str, String, Value)> {
+/// A field with a value at its bound or beyond, and a name of the value.
+type BoundedValue = (&'static str, String, Value);
+
+fn id_values() -> Vec<BoundedValue> {
     let mut values = Vec::new();
     for id in [
         "",
@@ -48,6 +50,11 @@
         let id = format!("run-{}", "1".repeat(digits));
         values.push(("uid", format!("{digits} digits"), id.into()));
     }
+    values
+}
+
+fn text_values() -> Vec<BoundedValue> {
+    let mut values = Vec::new();
     for field in ["docket", "crew", "plate", "yard"] {
         for length in [0, 1, 120, 121] {
             let text = "x".repeat(length).into();
@@ -56,6 +63,11 @@
         values.push((field, "120 bytes of 60".into(), "\u{e9}".repeat(60).into()));
         values.push((field, "122 bytes of 61".into(), "\u{e9}".repeat(61).into()));
     }
+    values
+}
+
+fn number_values() -> Vec<BoundedValue> {
+    let mut values = Vec::new();
     for tasks in [0, 1, 100_000, 100_001, u64::MAX] {
         values.push(("pieces", tasks.to_string(), tasks.into()));
     }
@@ -83,6 +95,11 @@
             values.push((field, format!("{amount:?}"), amount.into()));
         }
     }
+    values
+}
+
+fn list_values() -> Vec<BoundedValue> {
+    let mut values = Vec::new();
     for (name, types) in [
         ("none", texts(0, 0)),
         ("2048 bytes with marks in one", texts(1, 2044)),
@@ -104,6 +121,11 @@
     values
 }
 
+/// All values, in the order of the fixture.
+fn bounded_values() -> Vec<BoundedValue> {
+    [id_values(), text_values(), number_values(), list_values()].concat()
+}
+
 #[test]
 fn submission_bounds() {
     let cases: Vec<Case> = bounded_values()
--- a/tests/bad_input/messages.rs
+++ b/tests/bad_input/messages.rs
@@ -21,7 +21,7 @@
     Value::Array(elements)
 }
 
-pub fn submission() -> Value {
+pub(crate) fn submission() -> Value {
     map(vec![
         ("uid", "run-000412".into()),
         ("docket", "train".into()),
@@ -47,7 +47,7 @@
     ])
 }
 
-pub fn report() -> Value {
+pub(crate) fn report() -> Value {
     let task = map(vec![
         ("piece", "run-000412/0".into()),
         ("try", 1.into()),
--- a/tests/bad_input/mutations.rs
+++ b/tests/bad_input/mutations.rs
@@ -3,22 +3,22 @@
 use rmpv::Value;
 
 /// A damaged body and what was done to it.
-pub struct Damaged {
-    pub name: String,
-    pub body: Vec<u8>,
+pub(crate) struct Damaged {
+    pub(crate) name: String,
+    pub(crate) body: Vec<u8>,
 }
 
 /// A step from a value to one inside of it: a place in a list, or in a map's entries.
 type Path = Vec<usize>;
 
-pub fn encode(value: &Value) -> Vec<u8> {
+pub(crate) fn encode(value: &Value) -> Vec<u8> {
     let mut body = Vec::new();
     rmpv::encode::write_value(&mut body, value).unwrap();
     body
 }
 
 /// All damaged forms of a message.
-pub fn damaged_forms(message: &Value) -> Vec<Damaged> {
+pub(crate) fn damaged_forms(message: &Value) -> Vec<Damaged> {
     let mut forms = Vec::new();
     let mut add = |name: String, value: Value| {
         let body = encode(&value);
--- a/tests/bad_input/requests.rs
+++ b/tests/bad_input/requests.rs
@@ -74,8 +74,9 @@
 /// A request by its name, method, path and body.
 type Request = (&'static str, &'static str, &'static str, Vec<u8>);
 
-fn submissions() -> Vec<Request> {
-    let bodies = vec![
+/// Bodies that are no valid submission.
+fn malformed_submissions() -> Vec<(&'static str, Vec<u8>)> {
+    vec![
         ("empty body", Vec::new()),
         ("not MessagePack", b"not MessagePack".to_vec()),
         ("cut off", submission_cut_off()),
@@ -94,6 +95,12 @@
             "body over 64 KiB",
             job_with(vec![("plate", "x".repeat(70_000).into())]),
         ),
+    ]
+}
+
+/// Submissions that the cluster can't run.
+fn unrunnable_submissions() -> Vec<(&'static str, Vec<u8>)> {
+    vec![
         ("unknown team", job_with(vec![("crew", "nobody".into())])),
         (
             "unknown team with quotes",
@@ -122,9 +129,14 @@
         ),
         ("awaits itself", awaits("run-000412")),
         ("awaits an unknown job", awaits("run-000411")),
-    ];
+    ]
+}
+
+fn submissions() -> Vec<Request> {
+    let bodies = malformed_submissions().into_iter();
+    let bodies = bodies.chain(unrunnable_submissions());
     let request = |(name, body)| (name, "POST", "/submissions", body);
-    bodies.into_iter().map(request).collect()
+    bodies.map(request).collect()
 }
 
 fn submission_cut_off() -> Vec<u8> {
--- /dev/null
+++ b/tests/dependencies_http/user.rs
@@ -0,0 +1,99 @@
+//! A user of a node, and the bodies that it sends.
+
+use crate::support::{PATIENCE, StateService, map, ready_node_where};
+use hyper::Method;
+use rmpv::Value;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use umbervale::http::{Answer, HttpClient};
+use umbervale::wire::encode;
+
+/// A user of one node.
+pub(crate) struct User {
+    pub(crate) http: HttpClient,
+    pub(crate) front: SocketAddr,
+}
+
+impl User {
+    /// Sends a request.
+    pub(crate) async fn send(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> Answer {
+        let answer = self.http.call(method, self.front, path, body, PATIENCE);
+        answer.await.unwrap()
+    }
+
+    /// Submits a job: the reply's status, and the state of the job that it names.
+    pub(crate) async fn submit(&self, body: Vec<u8>) -> (u16, String) {
+        let answer = self.send(Method::POST, "/submissions", Some(body)).await;
+        (answer.status, state_of(&answer))
+    }
+
+    /// Asks for the state of a job.
+    pub(crate) async fn query(&self, id: &str) -> (u16, String) {
+        let path = format!("/submissions/{id}");
+        let answer = self.send(Method::GET, &path, None).await;
+        (answer.status, state_of(&answer))
+    }
+
+    /// Cancels a job.
+    pub(crate) async fn cancel(&self, id: &str) -> (u16, String) {
+        let path = format!("/submissions/{id}/cancel");
+        let answer = self.send(Method::POST, &path, None).await;
+        (answer.status, state_of(&answer))
+    }
+}
+
+pub(crate) fn state_of(answer: &Answer) -> String {
+    let body: Value = rmp_serde::from_slice(&answer.body).unwrap();
+    let state = body.as_map().and_then(|fields| {
+        let state = fields
+            .iter()
+            .find(|(key, _)| key.as_str() == Some("status"));
+        state.and_then(|(_, state)| state.as_str())
+    });
+    state.unwrap_or_default().to_owned()
+}
+
+/// A node that is ready, and the state service that it uses.
+pub(crate) async fn ready_node() -> (User, Arc<StateService>) {
+    let node = ready_node_where(|settings| settings).await;
+    let user = User {
+        http: node.http,
+        front: node.front,
+    };
+    (user, node.service)
+}
+
+/// A submission for the team that depends on other jobs.
+pub(crate) fn submission(id: &str, team: &str, dependencies: &[&str]) -> Vec<u8> {
+    let dependencies = dependencies.iter().map(|id| Value::from(*id));
+    encode(&map(vec![
+        ("uid", id.into()),
+        ("docket", "train".into()),
+        ("crew", team.into()),
+        ("form", "array".into()),
+        ("precedence", "normal".into()),
+        ("pieces", 3.into()),
+        ("vcpus", 4.into()),
+        ("gpus", 1.into()),
+        ("memory_gb", 8.into()),
+        ("plate", "img-1".into()),
+        ("image_gb", 1.5.into()),
+        ("together", false.into()),
+        ("scatter", false.into()),
+        ("loaners", false.into()),
+        ("expected_s", 30.into()),
+        ("bookmark_s", 0.into()),
+        ("bookmark_cost_s", 0.into()),
+        ("awaits", Value::Array(dependencies.collect())),
+    ]))
+}
+
+/// A reply that a test expects.
+pub(crate) fn reply(status: u16, state: &str) -> (u16, String) {
+    (status, state.to_owned())
+}
+
+/// The final record of a job of three tasks.
+pub(crate) fn final_record(state: &str) -> Value {
+    map(vec![("state", state.into()), ("tasks", 3.into())])
+}
--- /dev/null
+++ b/tests/support/cloud.rs
@@ -0,0 +1,37 @@
+//! A cloud without machines, written from the protocol.
+
+use super::map;
+use axum::Router;
+use axum::routing::get;
+use rmpv::Value;
+use umbervale::wire::encode;
+
+async fn machine_types() -> Vec<u8> {
+    let zones = Value::Array(vec!["east".into(), "west".into()]);
+    let machine_type = map(vec![
+        ("name", "g8".into()),
+        ("vcpus", 16.into()),
+        ("gpus", 4.into()),
+        ("memory_gb", 64.into()),
+        ("cache_gb", 100.into()),
+        ("fetch_gb_per_s", 0.4.into()),
+        ("price", 4.into()),
+        ("spot_price", 1.into()),
+        ("ready_s", 20.into()),
+        ("yards", zones),
+    ]);
+    let types = Value::Array(vec![machine_type]);
+    encode(&map(vec![("models", types)]))
+}
+
+async fn no_machines() -> Vec<u8> {
+    let none = Value::Array(Vec::new());
+    encode(&map(vec![("hosts", none), ("truncated", false.into())]))
+}
+
+/// The routes of the cloud.
+pub(super) fn router() -> Router {
+    Router::new()
+        .route("/flavors", get(machine_types))
+        .route("/machines", get(no_machines))
+}
--- a/tests/support/fixture_table.rs
+++ b/tests/support/fixture_table.rs
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 
 /// The cases of one table that were not taken yet.
-pub struct FixtureTable {
+pub(crate) struct FixtureTable {
     path: String,
     cases: BTreeMap<String, String>,
 }
 
 impl FixtureTable {
     /// Reads a table, by its path below `tests/fixtures`.
-    pub fn open(path: &str) -> Self {
+    pub(crate) fn open(path: &str) -> Self {
         let file = format!("{}/tests/fixtures/{path}", env!("CARGO_MANIFEST_DIR"));
         let text = std::fs::read_to_string(&file).unwrap();
         let mut cases = BTreeMap::new();
@@ -29,13 +29,13 @@
     }
 
     /// Takes the text of a case.
-    pub fn take_text(&mut self, name: &str) -> String {
+    pub(crate) fn take_text(&mut self, name: &str) -> String {
         let text = self.cases.remove(name);
         text.unwrap_or_else(|| panic!("{}: no case {name}, or taken twice", self.path))
     }
 
     /// Takes the bytes of a case.
-    pub fn take_bytes(&mut self, name: &str) -> Vec<u8> {
+    pub(crate) fn take_bytes(&mut self, name: &str) -> Vec<u8> {
         let digits = self.take_text(name);
         assert!(digits.len().is_multiple_of(2), "{name}: half a byte");
         (0..digits.len())
@@ -45,7 +45,7 @@
     }
 
     /// Checks that every case was taken.
-    pub fn finish(self) {
+    pub(crate) fn finish(self) {
         let left: Vec<String> = self.cases.into_keys().collect();
         assert!(left.is_empty(), "{}: not checked: {left:?}", self.path);
     }
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -10,9 +10,9 @@
 
 /// Keys with their values and versions, and the changes that led there.
 #[derive(Default)]
-pub struct Records {
-    pub values: BTreeMap<String, (Value, u64)>,
-    pub revision: u64,
+pub(crate) struct Records {
+    pub(crate) values: BTreeMap<String, (Value, u64)>,
+    pub(crate) revision: u64,
     changes: VecDeque<(u64, wire::WatchEvent)>,
     leases: u64,
 }
@@ -23,7 +23,7 @@
     }
 
     /// The key with its value.
-    pub fn item(&self, key: &str) -> Option<wire::Item> {
+    pub(crate) fn item(&self, key: &str) -> Option<wire::Item> {
         let (value, version) = self.values.get(key)?;
         Some(wire::Item {
             key: key.to_owned(),
@@ -33,7 +33,7 @@
     }
 
     /// A page of the keys with a prefix, after that key if one is given.
-    pub fn list(&self, under: &str, after: Option<&str>, page: usize) -> wire::Listing {
+    pub(crate) fn list(&self, under: &str, after: Option<&str>, page: usize) -> wire::Listing {
         let from = after.unwrap_or(under);
         let mut keys = self
             .values
@@ -51,7 +51,7 @@
     }
 
     /// Carries a transaction out: the new revision, or the keys whose conditions fail.
-    pub fn commit(&mut self, transaction: wire::Transaction) -> Result<u64, Vec<String>> {
+    pub(crate) fn commit(&mut self, transaction: wire::Transaction) -> Result<u64, Vec<String>> {
         let failed = transaction.comparisons.iter();
         let failed = failed.filter(|condition| self.version(&condition.key) != condition.version);
         let failed: Vec<String> = failed.map(|condition| condition.key.clone()).collect();
@@ -86,7 +86,7 @@
     }
 
     /// Has watches told of a change of the present revision.
-    pub fn note_change(&mut self, event: wire::WatchEvent) {
+    pub(crate) fn note_change(&mut self, event: wire::WatchEvent) {
         self.changes.push_back((self.revision, event));
         if self.changes.len() > CHANGES_KEPT {
             self.changes.pop_front();
@@ -94,7 +94,7 @@
     }
 
     /// The changes of keys with a prefix after that revision.
-    pub fn changes_after(&self, under: &str, after: u64) -> wire::Changes {
+    pub(crate) fn changes_after(&self, under: &str, after: u64) -> wire::Changes {
         let is_under = |event: &wire::WatchEvent| match event {
             wire::WatchEvent::Put { key, .. } => key.starts_with(under),
             wire::WatchEvent::Delete { key, .. } => key.starts_with(under),
@@ -111,7 +111,7 @@
     }
 
     /// A lease of its own.
-    pub fn new_lease(&mut self) -> wire::LeaseGranted {
+    pub(crate) fn new_lease(&mut self) -> wire::LeaseGranted {
         self.leases += 1;
         wire::LeaseGranted { lease: self.leases }
     }
--- /dev/null
+++ b/tests/support/state_service.rs
@@ -0,0 +1,183 @@
+//! A state service written from the protocol, with the faults that tests inject.
+
+use super::map;
+use super::records::Records;
+use axum::Router;
+use axum::body::Bytes;
+use axum::extract::{Path, Query, State};
+use axum::http::StatusCode;
+use axum::routing::{get, post};
+use rmpv::Value;
+use serde::Deserialize;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::sync::Notify;
+use umbervale::wire::{decode, encode, store as wire};
+
+/// The state service, with what may be wrong with it.
+#[derive(Default)]
+pub(crate) struct StateService {
+    pub(crate) records: Mutex<Records>,
+    changed: Notify,
+    /// Reads of this job's records are refused.
+    pub(crate) refused_job: Mutex<Option<&'static str>>,
+    /// Changes are not told of, as to a node whose watch lags.
+    pub(crate) silent: AtomicBool,
+    /// Reads of single keys and commits are refused.
+    pub(crate) down: AtomicBool,
+    /// Reads of single keys are not answered.
+    pub(crate) stalled: AtomicBool,
+    /// The leader writes a job's end just before its live record is read.
+    pub(crate) ends: AtomicBool,
+}
+
+type Shared = State<Arc<StateService>>;
+
+impl StateService {
+    /// Puts a record there that another node wrote, of which no change tells.
+    pub(crate) fn put_unheard(&self, key: &str, value: Value) {
+        let mut records = self.records.lock().unwrap();
+        records.revision += 1;
+        let version = records.revision;
+        records.values.insert(key.into(), (value, version));
+    }
+
+    /// The same, and the changes tell of it.
+    pub(crate) fn put_heard(&self, key: &str, value: Value) {
+        self.put_unheard(key, value.clone());
+        let mut records = self.records.lock().unwrap();
+        let version = records.revision;
+        let key = key.to_owned();
+        let event = wire::WatchEvent::Put {
+            key,
+            value,
+            version,
+        };
+        records.note_change(event);
+        self.changed.notify_waiters();
+    }
+
+    pub(crate) fn value(&self, key: &str) -> Option<Value> {
+        let records = self.records.lock().unwrap();
+        records.values.get(key).map(|(value, _)| value.clone())
+    }
+
+    /// Writes the end of the job whose live record this is, if it has one.
+    fn end_job_under(&self, key: &str) {
+        let mut records = self.records.lock().unwrap();
+        if let Some(id) = key.strip_prefix("live/job/")
+            && records.values.remove(key).is_some()
+        {
+            records.revision += 1;
+            let last = map(vec![("state", "done".into()), ("tasks", 3.into())]);
+            let last = (last, records.revision);
+            records.values.insert(format!("final/{id}"), last);
+        }
+    }
+
+    fn refuses(&self, key: &str) -> bool {
+        if self.down.load(Ordering::Relaxed) {
+            return true;
+        }
+        let refused = *self.refused_job.lock().unwrap();
+        refused.is_some_and(|job| key.rsplit('/').next() == Some(job))
+    }
+}
+
+async fn read_one(State(service): Shared, Path(key): Path<String>) -> (StatusCode, Vec<u8>) {
+    if service.stalled.load(Ordering::Relaxed) {
+        return std::future::pending().await;
+    }
+    if service.refuses(&key) {
+        return (StatusCode::SERVICE_UNAVAILABLE, Vec::new());
+    }
+    if service.ends.load(Ordering::Relaxed) {
+        service.end_job_under(&key);
+    }
+    let records = service.records.lock().unwrap();
+    match records.item(&key) {
+        Some(item) => (StatusCode::OK, encode(&item)),
+        None => {
+            let revision = records.revision;
+            (StatusCode::NOT_FOUND, encode(&wire::Revision { revision }))
+        }
+    }
+}
+
+#[derive(Deserialize)]
+struct ListQuery {
+    under: String,
+    after: Option<String>,
+    page: usize,
+}
+
+async fn list(State(service): Shared, Query(query): Query<ListQuery>) -> Vec<u8> {
+    let records = service.records.lock().unwrap();
+    encode(&records.list(&query.under, query.after.as_deref(), query.page))
+}
+
+async fn commit(State(service): Shared, body: Bytes) -> (StatusCode, Vec<u8>) {
+    if service.down.load(Ordering::Relaxed) {
+        return (StatusCode::SERVICE_UNAVAILABLE, Vec::new());
+    }
+    let transaction = decode(&body).unwrap();
+    match service.records.lock().unwrap().commit(transaction) {
+        Err(failed) => (
+            StatusCode::CONFLICT,
+            encode(&wire::Conflict {
+                failed_keys: failed,
+            }),
+        ),
+        Ok(revision) => {
+            service.changed.notify_waiters();
+            (StatusCode::OK, encode(&wire::Revision { revision }))
+        }
+    }
+}
+
+async fn new_lease(State(service): Shared) -> Vec<u8> {
+    encode(&service.records.lock().unwrap().new_lease())
+}
+
+async fn renew_lease() -> StatusCode {
+    StatusCode::OK
+}
+
+#[derive(Deserialize)]
+struct WatchQuery {
+    under: String,
+    after: u64,
+    block_ms: u64,
+}
+
+async fn changes(State(service): Shared, Query(query): Query<WatchQuery>) -> Vec<u8> {
+    let wait = Duration::from_millis(query.block_ms);
+    let changed = service.changed.notified();
+    let find = || {
+        if service.silent.load(Ordering::Relaxed) {
+            return wire::Changes {
+                revision: query.after,
+                events: Vec::new(),
+            };
+        }
+        let records = service.records.lock().unwrap();
+        records.changes_after(&query.under, query.after)
+    };
+    if find().events.is_empty() {
+        let _ = tokio::time::timeout(wait, changed).await;
+    }
+    encode(&find())
+}
+
+/// The routes of the service.
+pub(super) fn router(service: Arc<StateService>) -> Router {
+    Router::new()
+        .route("/store", get(list))
+        .route("/store/{*key}", get(read_one))
+        .route("/commit", post(commit))
+        .route("/holds", post(new_lease))
+        .route("/holds/{id}/touch", post(renew_lease))
+        .route("/changes", get(changes))
+        .with_state(service)
+}
