--- a/benches/load/fleet.rs
+++ b/benches/load/fleet.rs
@@ -83,7 +83,7 @@
             let name = format!("host-{number:06}");
             let machine = Machine::new(&rent.zone);
             self.machines().insert(name.clone(), machine);
-            // The worker ends with its machine; a panic of it shows in the figures.
+            // The worker ends when its machine is returned; without it the phases time out.
             tokio::spawn(self.clone().run_worker(name.clone(), number));
             names.push(name);
         }
--- a/benches/load/network.rs
+++ b/benches/load/network.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use umbervale::http::HttpClient;
 
-/// How long anything may take under callgrind.
+/// How long any call or wait may take under callgrind.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Serves the routes on a loopback port of their own, to the end of the program.
--- a/benches/load/process.rs
+++ b/benches/load/process.rs
@@ -1,4 +1,4 @@
-//! Node processes: one is measured, under callgrind or by what the system tells of it.
+//! Node processes: one is measured, under callgrind or by the memory that the system reports.
 
 use std::fs;
 use std::net::SocketAddr;
--- a/benches/load/profile.rs
+++ b/benches/load/profile.rs
@@ -65,7 +65,7 @@
         functions.map(|cost| cost.calls).sum()
     }
 
-    /// The functions whose names hold the text, dearest first by all that they called.
+    /// The functions whose names contain the text, by their inclusive cost, highest first.
     pub(crate) fn inclusive_of(&self, text: &str) -> Vec<(&str, &FunctionCost)> {
         let mut found: Vec<_> = self
             .functions
--- a/benches/load/workers.rs
+++ b/benches/load/workers.rs
@@ -39,6 +39,7 @@
             std::future::ready(StatusCode::OK)
         };
         let router = Router::new().route("/commands", post(execute));
+        // It ends with the program: a returned machine gets no more commands.
         tokio::spawn(async move { axum::serve(listener, router).await });
         Ok(address)
     }
--- a/src/engine/tests/combined_faults/cancellations.rs
+++ b/src/engine/tests/combined_faults/cancellations.rs
@@ -5,17 +5,17 @@
     JobChanges, cluster_with, cluster_with_two_services, move_leadership_east, short_job,
 };
 use super::assert_recovers;
-use crate::wire::user::JobKind;
-use crate::wire::user::JobState;
+use crate::wire::user::{JobKind, JobState};
 use std::collections::BTreeSet;
 
-/// Guards against a leader that answers reports for longer than it can know of all cancellations:
-/// it alone is refused, jobs are cancelled through others, and nobody can tell it.
+/// Guards against a leader that accepts heartbeats for longer than it can know of all
+/// cancellations: the state service refuses it alone, jobs are cancelled through other nodes, and
+/// nothing reaches it.
 #[test]
 fn cancellation_while_the_leader_is_refused_and_then_all_nodes() {
     for outage in [10_000, 40_000, 64_000] {
         for gap in [200, 2_000] {
-            // Before, at and after the refusal, and at the instant of the outage.
+            // The cancellation is before, at and after the refusal, and at the time of the outage.
             for (early, late) in [(100, 0), (0, 0), (0, 100), (0, gap)] {
                 for (peers, restarted) in [(true, false), (false, false), (true, true)] {
                     let mut cluster = cluster_with_two_services();
@@ -49,9 +49,9 @@
     }
 }
 
-/// Guards against leases renewed without a stop, and against office given up for a page that could
-/// not be read: leaders change while the records can't be read for longer than a cancellation may
-/// take, and reports are answered all the while.
+/// Guards against leases extended for cancelled tasks, and against leadership given up because
+/// records can't be read: leaders change while the records can't be listed for longer than the
+/// limit of a cancellation, and workers send heartbeats all the while.
 #[test]
 fn leaders_without_readable_records_stop_only_cancelled_tasks() {
     for every in [12_000, 60_000] {
@@ -72,26 +72,29 @@
     }
 }
 
-/// What a peer says shortens the time to a stop; nothing rests on it. The leader alone is refused.
+/// An announcement of a peer shortens the time to the stop, although nothing depends on it. The
+/// state service refuses the leader alone.
 #[test]
 fn announced_cancellation_stops_tasks_of_a_refused_leader_at_once() {
-    for told in [false, true] {
+    for announced in [false, true] {
         let mut cluster = cluster_with_two_services();
         let leader = cluster.leader().unwrap();
         cluster.faults.store_refuses.insert(leader);
         cluster.run(200);
         cluster.cancel("run-1");
-        if told {
+        if announced {
             cluster.announce_cancellation(leader, "run-1");
         }
         cluster.run(1_000);
-        assert_eq!(cluster.running_tasks("run-1"), if told { 0 } else { 4 });
+        assert_eq!(
+            cluster.running_tasks("run-1"),
+            if announced { 0 } else { 4 }
+        );
         assert_recovers(&mut cluster);
     }
 }
 
-/// The same with machines of cancelled tasks that hang meanwhile and go on within their lease, or
-/// after it.
+/// Machines with cancelled tasks hang during an outage, and resume within their lease or after it.
 #[test]
 fn cancelled_tasks_of_machines_hung_in_an_outage_stop_in_time() {
     for hang in [5_000, 12_000, 30_000] {
@@ -103,7 +106,7 @@
         cluster.cancel("run-2");
         cluster.run(700);
         cluster.faults.store_unavailable = true;
-        // Not most of them: a leader that hears hardly anyone gives way.
+        // A minority of them: a leader without heartbeats from most machines steps down.
         cluster
             .faults
             .hung_machines
@@ -116,8 +119,8 @@
     }
 }
 
-/// Guards against a deputy that keeps workers for longer than it can know of all cancellations:
-/// the node of a zone that is cut off from everything hears of none.
+/// Guards against a follower that keeps its zone's workers for longer than it can know of all
+/// cancellations: the zone is partitioned, and the state service refuses its node.
 #[test]
 fn cancelled_tasks_of_an_isolated_zone_stop_in_time() {
     for wait in [0, 1_000, 20_000] {
@@ -127,7 +130,7 @@
         move_leadership_east(&mut cluster);
         cluster.faults.zones_partitioned = true;
         cluster.faults.store_refuses.insert(1);
-        // Else the leader has the silent machines returned by then.
+        // So that the leader can't return the machines without heartbeats.
         cluster.faults.cloud_unavailable = true;
         cluster.run(wait);
         cluster.cancel("run-1");
@@ -137,7 +140,8 @@
     }
 }
 
-/// Guards against starts after a confirmed cancellation: it is durable just before the round is.
+/// Guards against starts after a confirmed cancellation: it becomes durable just before the round
+/// does.
 #[test]
 fn cancellation_racing_with_a_round_fails_the_round() {
     for after in (0..120).step_by(7) {
@@ -153,11 +157,11 @@
     }
 }
 
-/// Guards against a job called both done and cancelled: called off at every moment about the end
-/// of its last task.
+/// Guards against a job that is both done and cancelled: it is cancelled at every moment around the
+/// completion of its last task.
 #[test]
 fn cancellation_racing_with_completion_leaves_one_final_state() {
-    let mut both = BTreeSet::new();
+    let mut outcomes = BTreeSet::new();
     for kind in [JobKind::Array, JobKind::Gang] {
         let ended = |w: &SimulatedCluster| w.completed_tasks.len() >= 2;
         let mut cluster = cluster_with(vec![short_job("run-1", kind, 2)]);
@@ -173,9 +177,9 @@
             cluster.run(10_000);
             assert_eq!(cluster.violations, Vec::<String>::new());
             assert_eq!(cluster.count_keys("live/job/"), 0);
-            both.insert(format!("{:?}", cluster.final_state("run-1").unwrap()));
+            outcomes.insert(format!("{:?}", cluster.final_state("run-1").unwrap()));
         }
     }
-    assert_eq!(both.len(), 2, "both outcomes were met: {both:?}");
-    assert!(both.contains(&format!("{:?}", JobState::Done)));
+    assert_eq!(outcomes.len(), 2, "both outcomes were met: {outcomes:?}");
+    assert!(outcomes.contains(&format!("{:?}", JobState::Done)));
 }
--- a/src/engine/tests/combined_faults/late_messages.rs
+++ b/src/engine/tests/combined_faults/late_messages.rs
@@ -4,7 +4,7 @@
 use super::assert_recovers;
 use crate::wire::user::JobKind;
 
-/// Guards against an older record of an array's progress that is carried out over a newer one.
+/// Guards against an older record of an array's progress that is written over a newer one.
 #[test]
 fn late_progress_record_loses_no_completion() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Array, 4)]);
@@ -21,7 +21,7 @@
     assert_eq!(cluster.starts, 4, "what was done is done again");
 }
 
-/// The same of an earlier leader's record over its successor's.
+/// The same for a record of a former leader, written over that of its successor.
 #[test]
 fn late_progress_record_of_a_former_leader_loses_no_completion() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Array, 4)]);
@@ -40,18 +40,18 @@
     assert_eq!(cluster.starts, 4, "what was done is done again");
 }
 
-/// Guards against transactions that count on being carried out in order, or at all: rounds, ends
-/// and candidacies without an answer come late, across leaders' changes.
+/// Guards against transactions that rely on being executed in order, or at all: rounds, completions
+/// and elections without a reply are executed late, across failovers.
 #[test]
 fn late_commits_violate_no_invariant() {
-    for every in 2..6 {
+    for delay_commit_every in 2..6 {
         for crash_at in [21_000, 31_000, 36_000] {
             let mut cluster = cluster_with(vec![
                 short_job("run-1", JobKind::Array, 5),
                 short_job("run-2", JobKind::Gang, 2),
                 short_job("run-3", JobKind::Service, 1),
             ]);
-            cluster.faults.delay_commit_every = every;
+            cluster.faults.delay_commit_every = delay_commit_every;
             cluster.run(crash_at);
             if let Some(leader) = cluster.leader() {
                 cluster.restart(leader, 500);
@@ -67,16 +67,16 @@
     }
 }
 
-/// Guards against old reports taken for new: copies arrive seconds to two leases later, after
-/// newer ones, and at whoever leads by then.
+/// Guards against stale heartbeats taken for new: copies arrive seconds to two leases later, after
+/// newer ones, at whichever node leads by then.
 #[test]
 fn heartbeats_duplicated_across_failovers_change_nothing() {
-    for every in 1..4 {
+    for duplicate_heartbeat_every in 1..4 {
         let mut cluster = cluster_with(vec![
             short_job("run-1", JobKind::Array, 6),
             short_job("run-2", JobKind::Service, 2),
         ]);
-        cluster.faults.duplicate_heartbeat_every = every;
+        cluster.faults.duplicate_heartbeat_every = duplicate_heartbeat_every;
         for _ in 0..5 {
             cluster.run(17_000);
             let leader = cluster.leader().unwrap();
@@ -88,14 +88,14 @@
     }
 }
 
-/// Guards against reports that are believed though they are older than the machine's last, or
-/// older than the leader: the machine itself is out of reach, what it once said is not.
+/// Guards against heartbeats that are accepted although they are older than the machine's last, or
+/// than the leader's term: the machine is unreachable, and copies of its heartbeats arrive.
 #[test]
 fn stale_heartbeats_of_an_unreachable_machine_remove_no_task() {
     for crash in [false, true] {
         let mut cluster = cluster_with_two_services();
         let machine = cluster.machine_of("run-1").unwrap();
-        // From before its first start.
+        // Those sent before its first task.
         let mut heartbeats = cluster.heartbeats_of(&machine);
         heartbeats.retain(|heartbeat| heartbeat.tasks.is_empty());
         assert!(heartbeats.len() > 1);
@@ -114,8 +114,8 @@
     }
 }
 
-/// Guards against direct orders that do harm late: a machine hangs, executes them when it goes on,
-/// and another leads by then.
+/// Guards against direct commands that do harm late: a machine hangs and executes them when it
+/// resumes, under another leader.
 #[test]
 fn commands_executed_after_a_hang_are_harmless() {
     for hang in [2_000, 6_000, 14_000, 25_000] {
--- a/src/engine/tests/combined_faults/leader_changes.rs
+++ b/src/engine/tests/combined_faults/leader_changes.rs
@@ -8,8 +8,9 @@
 use crate::constants;
 use crate::wire::user::JobKind;
 
-/// Guards against starts of a leader in doubt: its round is written, its machine reports only when
-/// the state service has refused the leader for longer than its lease, and the job is cancelled.
+/// Guards against starts by a leader that can't confirm its lease: its round is durable, its
+/// machine sends a heartbeat only when the state service has refused the leader for longer than the
+/// lease, and the job is cancelled.
 #[test]
 fn leader_with_an_unconfirmed_lease_sends_no_durable_start() {
     let mut cluster = cluster_with_two_services();
@@ -33,13 +34,14 @@
     cluster.cancel("run-3");
     cluster.faults.unreachable_machines.clear();
     redirect_all_workers_to(&mut cluster, leader);
-    // The second report shows that the machine hears.
+    // The second heartbeat shows that the machine receives replies.
     cluster.run(4_000);
     assert!(!cluster.started_jobs.contains("run-3"));
     assert_recovers(&mut cluster);
 }
 
-/// Guards against one job whose record has changed unheard failing everybody's rounds.
+/// Guards against a job whose record has changed, unknown to the leader, and fails the rounds of
+/// other jobs.
 #[test]
 fn conflict_on_one_job_does_not_fail_the_rounds_of_others() {
     let mut cluster = cluster_with_two_services();
@@ -48,7 +50,7 @@
     cluster.submit(short_job("run-3", JobKind::Array, 1));
     cluster.cancel("run-1");
     cluster.run(2_000);
-    // Room for both; the leader hears of what follows only with its next watch's answer.
+    // There is capacity for both; the leader learns of what follows with its next watch reply.
     cluster.submit(short_job("run-4", JobKind::Array, 1));
     cluster.submit(short_job("run-5", JobKind::Array, 1));
     cluster.run(20);
@@ -58,8 +60,8 @@
     assert_recovers(&mut cluster);
 }
 
-/// Guards against starts that a new leader does not know of, because its watch lags behind: a job
-/// that it had not heard of when it read the rounds is placed already.
+/// Guards against starts that a new leader does not know of because its watch lags: a job whose
+/// record it had not received when it read the rounds is placed already.
 #[test]
 fn leader_with_a_lagging_watch_places_no_task_twice() {
     let mut first = short_job("run-1", JobKind::Service, 6);
@@ -67,34 +69,34 @@
     let mut cluster = cluster_with(vec![first]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 6));
     cluster.run(10_000);
-    let old = cluster.leader().unwrap();
-    let (quick_one, slow_one) = followers(&cluster);
-    cluster.faults.store_refuses.insert(old);
-    cluster.faults.store_call_delay.insert(slow_one, 1_400);
+    let former_leader = cluster.leader().unwrap();
+    let (fast_follower, slow_follower) = followers(&cluster);
+    cluster.faults.store_refuses.insert(former_leader);
+    cluster.faults.store_call_delay.insert(slow_follower, 1_400);
     while cluster.count_keys("live/lead") == 1 {
         cluster.run(1);
     }
-    // It has heard that the office is vacant, and stands for it; all else it hears late.
-    cluster.faults.watch_delay.insert(slow_one, 2_900);
+    // It knows that there is no leader, and is a candidate; its later watch replies are late.
+    cluster.faults.watch_delay.insert(slow_follower, 2_900);
     while cluster.count_keys("live/lead") == 0 {
         cluster.run(1);
     }
     assert_eq!(cluster.count_keys("live/job/"), 1);
     cluster.submit(short_job("run-2", JobKind::Service, 1));
-    redirect_all_workers_to(&mut cluster, quick_one);
+    redirect_all_workers_to(&mut cluster, fast_follower);
     assert!(cluster.run_until(1_500, |w| w.started_jobs.contains("run-2")));
-    // In office for a second; back, it is refused.
-    cluster.crash(quick_one);
-    cluster.faults.store_refuses.insert(quick_one);
-    cluster.start(quick_one);
+    // It has led for a second; after its restart the state service refuses it.
+    cluster.crash(fast_follower);
+    cluster.faults.store_refuses.insert(fast_follower);
+    cluster.start(fast_follower);
     let machine = cluster.machine_of("run-2").unwrap();
     cluster.faults.unreachable_machines.insert(machine);
-    // Its candidacy is under way; what it calls after that is answered at once.
+    // Its election is pending; later calls get their reply at once.
     cluster.run(2_200);
     cluster.faults.store_call_delay.clear();
-    let leads = |w: &SimulatedCluster| w.engine(slow_one).unwrap().view().leading;
+    let leads = |w: &SimulatedCluster| w.engine(slow_follower).unwrap().view().leading;
     assert!(cluster.run_until(3_000, leads));
-    redirect_all_workers_to(&mut cluster, slow_one);
+    redirect_all_workers_to(&mut cluster, slow_follower);
     cluster.run(12_000);
     assert_eq!(
         cluster.violations,
@@ -105,7 +107,7 @@
     assert_recovers(&mut cluster);
 }
 
-/// Guards against ends that are lost or taken for the whole job's across changes of leader.
+/// Guards against completions that are lost, or taken for the whole job's, across failovers.
 #[test]
 fn tasks_completing_under_different_leaders_complete_their_job_once() {
     for kind in [JobKind::Array, JobKind::Gang] {
@@ -127,16 +129,17 @@
     }
 }
 
-/// Guards against tasks taken for live, or for gone, after nobody has led for longer than a lease.
+/// Guards against tasks taken for running, or for lost, after a time without leader longer than a
+/// lease.
 #[test]
 fn all_nodes_down_for_longer_than_a_lease_lose_no_job() {
-    for away in [18_000, 25_000, 70_000] {
+    for downtime in [18_000, 25_000, 70_000] {
         let mut cluster = cluster_with_two_services();
         cluster.submit(short_job("run-3", JobKind::Array, 2));
         let cut = cluster.machine_of("run-1").unwrap();
         cluster.crash_all_nodes();
-        cluster.run(away - 2_000);
-        // Out of reach when they return, too.
+        cluster.run(downtime - 2_000);
+        // It is still unreachable when nodes are up again.
         cluster.faults.unreachable_machines.insert(cut);
         cluster.run(2_000);
         cluster.start(0);
@@ -155,8 +158,8 @@
     }
 }
 
-/// Guards against anything that only lasts as long as a leader: ten in two minutes, also inside
-/// an outage, with jobs submitted and cancelled all the while.
+/// Guards against state that lasts only as long as a leader: ten leaders in two minutes, also
+/// during an outage, with jobs submitted and cancelled all the while.
 #[test]
 fn ten_leaders_in_two_minutes_violate_no_invariant() {
     for outage in [None, Some(2), Some(5)] {
@@ -180,11 +183,11 @@
     }
 }
 
-/// Guards against what a node keeps from an earlier office: it hands over, leads again, all end,
-/// and one returns within a second.
+/// Guards against state that a node keeps from a former term: it transfers leadership, leads again,
+/// all nodes crash, and one is back within a second.
 #[test]
 fn leadership_transferred_back_and_forth_keeps_state_consistent() {
-    for back in [50, 400, 950] {
+    for downtime in [50, 400, 950] {
         let mut cluster = cluster_with_two_services();
         cluster.submit(short_job("run-3", JobKind::Array, 4));
         cluster.run(5_000);
@@ -200,7 +203,7 @@
         cluster.cancel("run-1");
         let last = cluster.leader().unwrap();
         cluster.crash_all_nodes();
-        cluster.run(back);
+        cluster.run(downtime);
         cluster.start(last);
         cluster.run(30_000);
         assert_recovers(&mut cluster);
--- a/src/engine/tests/combined_faults/lost_machines.rs
+++ b/src/engine/tests/combined_faults/lost_machines.rs
@@ -7,8 +7,8 @@
 use crate::constants;
 use crate::wire::user::JobKind;
 
-/// Guards against stops that travel with answers only, and against taking a machine that can't
-/// open connections for one that has stopped its tasks.
+/// Guards against stops that are sent with heartbeat replies only, and against taking a machine
+/// that can't open connections for one that has stopped its tasks.
 #[test]
 fn machines_without_heartbeats_are_stopped_directly_and_replaced_once_returned() {
     let mut cluster = cluster_with_two_services();
@@ -23,11 +23,11 @@
     assert_recovers(&mut cluster);
 }
 
-/// Guards against room of a team that seems free because its holders can't be asked: at its limit,
-/// the leader ends, machines are out of reach, and one job is cancelled.
+/// Guards against quota that seems available because the machines that use it can't be reached: the
+/// team is at its limit, the leader crashes, machines are unreachable, and a job is cancelled.
 #[test]
 fn team_quota_holds_through_failover_and_cancellation() {
-    for cut_for in [8_000, 15_000, 40_000] {
+    for isolated_for in [8_000, 15_000, 40_000] {
         let mut whole = short_job("run-0", JobKind::Service, 1);
         whole.cpus = 16.0;
         let mut cluster = cluster_with(vec![
@@ -38,7 +38,7 @@
         assert!(cluster.run_until(60_000, |w| w.all_running_tasks() == 8));
         cluster.cancel("run-0");
         cluster.run(1_000);
-        // In the last room that the team has: the machine that was full is idle.
+        // It uses the rest of the team's quota: the machine that was full is idle.
         cluster.submit(short_job("run-4", JobKind::Service, 1));
         assert!(cluster.run_until(10_000, |w| w.all_running_tasks() == 8));
         let busy = cluster.busy_machines();
@@ -53,7 +53,7 @@
         cluster.crash(leader);
         cluster.run(2_000);
         cluster.cancel("run-1");
-        cluster.run(cut_for);
+        cluster.run(isolated_for);
         cluster.faults.unreachable_machines.clear();
         cluster.run(2_000);
         assert_recovers(&mut cluster);
@@ -61,11 +61,11 @@
     }
 }
 
-/// Guards against jobs of one zone that are placed elsewhere, twice or never: the zone, with a
-/// node in it, is cut off for longer than a lease, and machines of theirs are lost meanwhile.
+/// Guards against jobs of one zone that are placed elsewhere, twice or never: the zone, with a node
+/// in it, is partitioned for longer than a lease, and loses machines meanwhile.
 #[test]
 fn jobs_of_a_partitioned_zone_get_replacement_machines() {
-    for cut_for in [20_000, 45_000, 90_000] {
+    for isolated_for in [20_000, 45_000, 90_000] {
         let mut jobs = vec![
             short_job("run-1", JobKind::Service, 2),
             short_job("run-2", JobKind::Array, 4),
@@ -81,13 +81,13 @@
         cluster.run(5_000);
         let lost = cluster.machine_of("run-2").unwrap();
         cluster.faults.hung_machines.insert(lost);
-        cluster.run(cut_for);
+        cluster.run(isolated_for);
         cluster.cancel("run-1");
         cluster.submit(short_job("run-3", JobKind::Service, 1));
         cluster.run(5_000);
         cluster.faults.zones_partitioned = false;
-        let all = cluster.run_until(constants::LEASE_TTL_MS + 90_000, |w| {
-            w.waiting_jobs().is_empty()
+        let all = cluster.run_until(constants::LEASE_TTL_MS + 90_000, |cluster| {
+            cluster.waiting_jobs().is_empty()
         });
         assert!(all, "{:?}: {}", cluster.waiting_jobs(), cluster.describe());
         assert_recovers(&mut cluster);
--- a/src/engine/tests/combined_faults/mod.rs
+++ b/src/engine/tests/combined_faults/mod.rs
@@ -26,7 +26,7 @@
 /// The nodes that do not lead.
 pub(super) fn followers(cluster: &SimulatedCluster) -> (usize, usize) {
     let leader = cluster.leader();
-    let mut followers = (0..3).filter(|n| Some(*n) != leader);
+    let mut followers = (0..3).filter(|node| Some(*node) != leader);
     (followers.next().unwrap(), followers.next().unwrap())
 }
 
--- a/src/engine/tests/dependencies/blocked_jobs.rs
+++ b/src/engine/tests/dependencies/blocked_jobs.rs
@@ -4,12 +4,8 @@
 use super::super::support::{
     assert_completes, cluster_with, dependent_job, lasting_job, short_job,
 };
-use crate::model::Job;
-use crate::model::JobId;
-use crate::model::JobPhase;
-use crate::model::JobSpec;
-use crate::wire::user::JobKind;
-use crate::wire::user::Priority;
+use crate::model::{Job, JobId, JobPhase, JobSpec};
+use crate::wire::user::{JobKind, Priority};
 
 /// The job as the leader knows it.
 fn known_to_leader<'a>(cluster: &'a SimulatedCluster, id: &str) -> Option<&'a Job> {
@@ -17,7 +13,7 @@
     cluster.engine(leader)?.jobs.get(&JobId::from(id))
 }
 
-/// Guards against room held, or rented, for what can't start.
+/// Guards against resources reserved, or machines rented, for a job that can't start.
 #[test]
 fn blocked_job_reserves_no_resources() {
     let mut first = dependent_job("run-1", JobKind::Array, 1, &[]);
@@ -26,7 +22,7 @@
     let mut cluster = cluster_with(vec![first, waiting]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
     assert_eq!(cluster.workers.len(), 1, "nothing is rented for it");
-    // The rest of the team's limit, although the waiting job came first.
+    // It uses the rest of the team's quota, although the blocked job was submitted first.
     let mut other = dependent_job("run-3", JobKind::Gang, 7, &[]);
     other.priority = Priority::Low;
     cluster.submit(other);
@@ -55,7 +51,7 @@
     ] {
         cluster.submit(job);
     }
-    // There is room for two tasks, one in each zone.
+    // There is capacity for two tasks, one in each zone.
     assert!(cluster.run_until(60_000, |w| !w.started_jobs.is_empty()));
     assert!(
         cluster.started_jobs.contains("run-1"),
@@ -66,7 +62,7 @@
     assert_completes(&mut cluster, "run-3", 120_000);
 }
 
-/// A job that waited long for others has not waited for room.
+/// A job that was blocked for long has not starved.
 #[test]
 fn starvation_counts_from_readiness_and_deadline_from_submission() {
     let mut spec = JobSpec::from(&short_job("run-1", JobKind::Array, 1));
@@ -79,8 +75,8 @@
     assert_eq!(job.deadline(), 6_000);
 }
 
-/// Guards against times that start again with a new leader, and against a deadline that is put off
-/// by the wait: the due time counts from the submission, the age from when the job could begin.
+/// Guards against times that start again with a new leader, and against a deadline that is moved by
+/// the wait: the deadline counts from the submission, starvation from when the job could start.
 #[test]
 fn times_of_a_blocked_job_survive_a_failover() {
     let first = lasting_job("run-1", JobKind::Array, 1, 60.0);
@@ -95,7 +91,7 @@
         if change_of_leader {
             let leader = cluster.crash_leader();
             cluster.run(6_000);
-            // All other nodes saw the job wait; this one reads its record anew.
+            // The other nodes know the blocked job; this one reads its record anew.
             for node in (0..3).filter(|node| *node != leader) {
                 cluster.crash(node);
             }
@@ -114,8 +110,8 @@
     }
 }
 
-/// Guards against a guarantee used up by what can't start: of two jobs that would fill it, the one
-/// that came later and does not wait has it.
+/// Guards against a guarantee used by a job that can't start: of two jobs that would use it up, the
+/// later one that is not blocked gets it.
 #[test]
 fn blocked_job_uses_no_team_guarantee() {
     let first = lasting_job("run-1", JobKind::Array, 1, 300.0);
--- a/src/engine/tests/dependencies/cancellation.rs
+++ b/src/engine/tests/dependencies/cancellation.rs
@@ -3,8 +3,7 @@
 use super::super::simulated_cluster::SimulatedCluster;
 use super::super::support::{assert_completes, cluster_with, dependent_job, short_job};
 use super::job_chain;
-use crate::wire::user::JobKind;
-use crate::wire::user::JobState;
+use crate::wire::user::{JobKind, JobState};
 
 /// The state of a blocked job that each node gives.
 fn blocked_job_states(cluster: &mut SimulatedCluster, id: &str) -> Vec<Option<JobState>> {
@@ -13,8 +12,9 @@
         .collect()
 }
 
-/// Guards against a dependant whose end hangs on a second write: none can be made for longer than a
-/// cancellation may take, and nobody may call it queued meanwhile, nor after that.
+/// Guards against a dependent whose cancellation needs a second write: none is possible for longer
+/// than the limit of a cancellation, and no node may report it queued during the outage or after
+/// it.
 #[test]
 fn cancellation_propagates_to_dependents_during_an_outage() {
     let mut jobs = job_chain();
@@ -44,8 +44,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against an answer older than one that another node has given: each asks the state service
-/// for what is newer than the question, and nobody leads to write the dependants' ends.
+/// Guards against a reply older than that of another node: each node asks the state service for
+/// changes newer than the query, and no leader writes the final records of the dependents.
 #[test]
 fn all_nodes_report_a_dependents_cancellation_consistently() {
     let mut jobs = job_chain();
@@ -53,7 +53,7 @@
     let mut cluster = cluster_with(jobs);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 2));
     let leader = cluster.crash_leader();
-    let others: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
+    let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     cluster.faults.watch_delay.insert(others[1], 900);
     cluster.run(1_000);
     cluster.cancel("run-1");
@@ -72,7 +72,7 @@
     );
 }
 
-/// Jobs that name a cancelled one after its records are gone, and one by a node that has just started.
+/// Jobs depend on a cancelled one whose live record is gone, with a node that has just restarted.
 #[test]
 fn job_depending_on_a_cancelled_one_is_cancelled() {
     let mut cluster = cluster_with(vec![dependent_job("run-1", JobKind::Service, 1, &[])]);
@@ -91,8 +91,8 @@
     assert_eq!((cluster.count_keys("live/job/"), cluster.starts), (0, 1));
 }
 
-/// Guards against a cancellation that reaches back: what the cancelled job waited for, and what
-/// waits for the same, goes on.
+/// Guards against a cancellation that propagates backwards: the dependencies of the cancelled job,
+/// and other dependents of theirs, go on.
 #[test]
 fn cancelling_a_blocked_job_does_not_affect_its_dependencies() {
     let mut cluster = cluster_with(vec![
@@ -111,8 +111,8 @@
     assert_eq!(cluster.starts, 3);
 }
 
-/// Guards against a step let go by a leader that has meanwhile been told of its cancellation: the
-/// write that lets it start, carried out 12 s late, must not bring it back.
+/// Guards against a job that is released after its cancellation: the write that releases it is
+/// executed 12 s late.
 #[test]
 fn late_release_of_a_blocked_job_does_not_undo_its_cancellation() {
     let mut cluster = cluster_with(vec![
--- a/src/engine/tests/dependencies/chains.rs
+++ b/src/engine/tests/dependencies/chains.rs
@@ -2,18 +2,17 @@
 
 use super::super::support::{assert_completes, cluster_with, dependent_job, short_job};
 use super::job_chain;
-use crate::wire::user::JobKind;
-use crate::wire::user::JobState;
+use crate::wire::user::{JobKind, JobState};
 use std::collections::BTreeSet;
 
-/// Guards against a step started on what a leader remembers: it ends at any step of a round, and of
-/// the write that lets the next step start, which may also be carried out late.
+/// Guards against a job started from what a leader remembers: the leader crashes at any step of a
+/// round, and of the write that releases the next job, which may also be executed late.
 #[test]
 fn dependency_chain_runs_in_order_across_failovers() {
-    for late_every in [0, 3] {
+    for delay_commit_every in [0, 3] {
         for crash_at in (30_000..62_000).step_by(2_300) {
             let mut cluster = cluster_with(job_chain());
-            cluster.faults.delay_commit_every = late_every;
+            cluster.faults.delay_commit_every = delay_commit_every;
             cluster.run(crash_at);
             if let Some(leader) = cluster.leader() {
                 cluster.restart(leader, 800);
@@ -27,7 +26,8 @@
     }
 }
 
-/// A step's end meets its cancellation: one of them is durable, and decides about the next steps.
+/// A job's completion races with its cancellation: one of them is durable, and decides about the
+/// dependents.
 #[test]
 fn completion_or_cancellation_decides_about_dependents() {
     let mut outcomes = BTreeSet::new();
@@ -55,19 +55,19 @@
     assert_eq!(outcomes.len(), 2, "both outcomes were met");
 }
 
-/// A wide fan costs no more than its records: what a hundred jobs await, and one that awaits many.
+/// Many jobs depend on one, one on many, and many on each other in a row.
 #[test]
 fn wide_and_long_dependency_graphs_complete() {
     let mut cluster = cluster_with(vec![dependent_job("run-0", JobKind::Array, 1, &[])]);
-    let name = |n: usize| format!("run-{n}");
-    for n in 1..40 {
-        cluster.submit(dependent_job(&name(n), JobKind::Array, 1, &["run-0"]));
+    let name = |number: usize| format!("run-{number}");
+    for number in 1..40 {
+        cluster.submit(dependent_job(&name(number), JobKind::Array, 1, &["run-0"]));
     }
     let fan: Vec<String> = (1..40).map(name).collect();
     let fan: Vec<&str> = fan.iter().map(|id| &**id).collect();
     cluster.submit(dependent_job("run-100", JobKind::Array, 1, &fan));
-    for n in 101..160 {
-        let mut job = dependent_job(&name(n), JobKind::Array, 1, &[&*name(n - 1)]);
+    for number in 101..160 {
+        let mut job = dependent_job(&name(number), JobKind::Array, 1, &[&*name(number - 1)]);
         job.expected_duration_s = 1.0;
         cluster.submit(job);
     }
@@ -80,8 +80,8 @@
     assert_eq!(cluster.starts, 100);
 }
 
-/// Users may submit the last job of a pipeline when the others are over: nobody knows these any
-/// more, and nodes that have started since never did.
+/// A user submits the last job of a graph when the others have completed: no node knows these any
+/// more, and nodes that have restarted never did.
 #[test]
 fn job_depending_on_long_completed_jobs_starts() {
     let mut cluster = cluster_with(vec![
--- a/src/engine/tests/dependencies/event_orders.rs
+++ b/src/engine/tests/dependencies/event_orders.rs
@@ -26,7 +26,7 @@
     Query,
 }
 
-/// All orders of the four.
+/// All orders of the four events.
 fn event_orders() -> Vec<Vec<JobEvent>> {
     use JobEvent::{Cancellation, Completion, Query, Submission};
     let mut orders = vec![Vec::new()];
--- a/src/engine/tests/dependencies/mod.rs
+++ b/src/engine/tests/dependencies/mod.rs
@@ -10,8 +10,7 @@
 mod upcoming_limits;
 
 use super::support::dependent_job;
-use crate::wire::user::JobKind;
-use crate::wire::user::JobSubmission;
+use crate::wire::user::{JobKind, JobSubmission};
 
 /// A record as the production version wrote it.
 macro_rules! production {
--- a/src/engine/tests/dependencies/production_records.rs
+++ b/src/engine/tests/dependencies/production_records.rs
@@ -3,9 +3,8 @@
 use super::super::simulated_cluster::SimulatedCluster;
 use super::super::support::{assert_completes, dependent_job};
 use super::production;
-use crate::wire::user::JobKind;
-use crate::wire::user::JobState;
 use crate::wire::user::tests::job;
+use crate::wire::user::{JobKind, JobState};
 
 fn restart_all_nodes(cluster: &mut SimulatedCluster, meanwhile: impl Fn(&mut SimulatedCluster)) {
     cluster.crash_all_nodes();
@@ -14,20 +13,20 @@
     cluster.start_all_nodes();
 }
 
-/// Leadership passes from the production version to the new one, back, and to the new one again. The
-/// production version is played by what it wrote, and by what it does to a job whose record it can't
-/// read: its user cancels it, and it deletes the record.
+/// Leadership passes from the production version to the version under test, back, and forth again.
+/// The production version is simulated by what it wrote, and by what it does with a job whose
+/// record it can't read: its user cancels the job, and it deletes the record.
 #[test]
 fn records_of_production_version_leaders_are_carried_on() {
     let mut cluster = SimulatedCluster::new(3, 8.0);
-    restart_all_nodes(&mut cluster, |w| {
+    restart_all_nodes(&mut cluster, |cluster| {
         let mut gang = job("run-7", JobKind::Gang, 2);
         gang.expected_duration_s = 20.0;
-        w.jobs.insert("run-7".into(), gang);
-        w.put_record("term", production!("term"));
-        w.put_record("live/job/run-7", production!("open"));
-        // Of its term, on a machine that is long gone.
-        w.put_record("rounds/0000000000700001", production!("round"));
+        cluster.jobs.insert("run-7".into(), gang);
+        cluster.put_record("term", production!("term"));
+        cluster.put_record("live/job/run-7", production!("open"));
+        // Of its term, on a machine that has been returned.
+        cluster.put_record("rounds/0000000000700001", production!("round"));
     });
     assert!(cluster.run_until(10_000, |w| w.leader().is_some()));
     assert!(cluster.term() > 7);
@@ -39,10 +38,10 @@
         cluster.submit(step);
     }
     assert!(cluster.run_until(90_000, |w| w.running_tasks("run-7") == 2));
-    restart_all_nodes(&mut cluster, |w| {
-        assert!(w.has_live_record("run-9"));
-        w.delete_record("live/job/run-9");
-        w.put_record("final/run-9", production!("final_aborted"));
+    restart_all_nodes(&mut cluster, |cluster| {
+        assert!(cluster.has_live_record("run-9"));
+        cluster.delete_record("live/job/run-9");
+        cluster.put_record("final/run-9", production!("final_aborted"));
     });
     assert_completes(&mut cluster, "run-8", 120_000);
     assert!(cluster.is_done("run-7"));
--- a/src/engine/tests/dependencies/upcoming_limits.rs
+++ b/src/engine/tests/dependencies/upcoming_limits.rs
@@ -5,8 +5,8 @@
 use super::job_chain;
 use crate::wire::user::JobKind;
 
-/// The limits to come hold from some moment on: whatever is under way then, nothing that is sent
-/// later is too large. The records of jobs accepted before are larger than they allow.
+/// The upcoming limits take effect at some moment: whatever is in progress then, no later
+/// transaction exceeds them. Records of jobs accepted before are larger than they allow.
 #[test]
 fn upcoming_limits_are_kept_from_any_moment_on() {
     let next = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0";
@@ -21,9 +21,9 @@
         }
         cluster.submit(short_job("run-5", JobKind::Gang, 40));
         cluster.submit(short_job("run-6", JobKind::Array, 20));
-        // They end together.
-        for n in 20..32 {
-            cluster.submit(short_job(&format!("run-{n}"), JobKind::Array, 1));
+        // These complete together.
+        for number in 20..32 {
+            cluster.submit(short_job(&format!("run-{number}"), JobKind::Array, 1));
         }
         cluster.run(at);
         (cluster.max_mutations, cluster.max_value_bytes) = (4, 2 * 1024);
--- a/src/engine/tests/failover.rs
+++ b/src/engine/tests/failover.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn leader_crash_at_any_step_of_a_round_loses_no_work() {
-    // From before the start is planned until after its end is written.
+    // From before the start is planned until the completion is durable.
     for crash_at in (20_000..52_000).step_by(370) {
         let mut cluster = cluster_with(vec![
             short_job("run-1", JobKind::Array, 6),
@@ -27,18 +27,18 @@
 
 #[test]
 fn crash_of_all_nodes_loses_no_job() {
-    for (at, pause) in [(1_500, 300), (24_000, 4_000), (31_000, 4_000)] {
+    for (at, downtime) in [(1_500, 300), (24_000, 4_000), (31_000, 4_000)] {
         let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Array, 4)]);
         cluster.run(at);
         cluster.crash_all_nodes();
-        cluster.run(pause);
+        cluster.run(downtime);
         cluster.start_all_nodes();
         assert_completes(&mut cluster, "run-1", 150_000);
     }
 }
 
-/// A new leader once took every machine's age from the list and returned the whole fleet as
-/// never up.
+/// Guards against a new leader that takes the age of the machines in the cloud's list for the time
+/// since they should have booted, and returns them.
 #[test]
 fn failover_returns_no_busy_machine() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
@@ -50,7 +50,8 @@
     assert_eq!((cluster.running_tasks("run-1"), cluster.starts), (1, 1));
 }
 
-/// A new leader once rented a whole fleet again, because the machines had not reported to it.
+/// Guards against a new leader that scales out although the machines are there, because they have
+/// not sent a heartbeat to it yet.
 #[test]
 fn failover_with_queued_jobs_rents_no_duplicate_machines() {
     let first = lasting_job("run-1", JobKind::Array, 4, 400.0);
@@ -83,45 +84,45 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Back at once, in the middle of its own commits and elections: what the predecessor sent is
-/// still carried out after that.
+/// Nodes restart in the middle of their own commits and elections: calls of the previous process
+/// are still executed afterwards.
 #[test]
 fn immediate_restarts_tolerate_calls_in_flight() {
-    for (delay, pause) in [(40, 30), (250, 100), (600, 400)] {
+    for (store_delay, downtime) in [(40, 30), (250, 100), (600, 400)] {
         for at in [500, 2_300, 21_900, 24_700, 31_000, 35_500] {
             let mut cluster = cluster_with(vec![
                 short_job("run-1", JobKind::Array, 5),
                 short_job("run-2", JobKind::Gang, 2),
             ]);
-            cluster.faults.store_delay = delay;
+            cluster.faults.store_delay = store_delay;
             cluster.run(at);
-            // All three, then each again, one after the other, in the middle of the election.
+            // All three crash, and then each again, one after the other, during the election.
             for round in 0..2 {
                 for node in 0..3 {
                     cluster.crash(node);
                     if round == 1 {
-                        cluster.run(pause);
+                        cluster.run(downtime);
                         cluster.start(node);
-                        cluster.run(pause);
+                        cluster.run(downtime);
                     }
                 }
-                cluster.run(pause);
+                cluster.run(downtime);
                 cluster.start_all_nodes();
-                cluster.run(pause * 3);
+                cluster.run(downtime * 3);
             }
             assert_completes(&mut cluster, "run-1", 200_000);
             assert_completes(&mut cluster, "run-2", 200_000);
             assert!(
                 cluster.starts <= 14,
-                "delay {delay}, at {at}: {}",
+                "delay {store_delay}, at {at}: {}",
                 cluster.starts
             );
         }
     }
 }
 
-/// Once all controllers had been restarted, every machine was taken to be as young as the new
-/// process: hundreds stood idle for another minute after each restart.
+/// Guards against a leader that takes all machines to be as young as its own process, and keeps
+/// idle ones for longer.
 #[test]
 fn idle_machines_are_returned_soon_after_a_restart_of_all_nodes() {
     let mut cluster = cluster_with(vec![
@@ -142,22 +143,22 @@
     assert_eq!(cluster.running_tasks("run-2"), 1);
 }
 
-/// Each leader ends after nine seconds, and one machine is dead: none of them ever rented, since
-/// each waited longer than it lived for the last machine to report.
+/// Each leader crashes after nine seconds, and one machine is dead: guards against leaders that
+/// wait for its heartbeat longer than they live before they scale out.
 #[test]
 fn short_lived_leaders_still_scale_out() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
     cluster.run(2_000);
     cluster.submit(short_job("run-1", JobKind::Service, 20));
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 20));
-    // Long enough for none of the machines to be taken for booting.
+    // Longer than a machine may take to boot.
     cluster.run(30_000);
     let dead = cluster.machine_of("run-1").unwrap();
     cluster.faults.hung_machines.insert(dead);
     for round in 0..8 {
         let leader = cluster.crash_leader();
         if round == 1 {
-            // More whole machines than are kept for what is expected.
+            // It needs more whole machines than are kept for expected jobs.
             let gang = whole_machine_gang("run-2", 10);
             cluster.submit(gang);
         }
--- a/src/engine/tests/job_lifecycle.rs
+++ b/src/engine/tests/job_lifecycle.rs
@@ -2,8 +2,7 @@
 
 use super::simulated_cluster::SimulatedCluster;
 use super::support::{assert_completes, cluster_with, lasting_job, short_job};
-use crate::wire::user::JobKind;
-use crate::wire::user::JobState;
+use crate::wire::user::{JobKind, JobState};
 
 #[test]
 fn jobs_of_each_kind_complete_and_leave_no_records() {
@@ -33,23 +32,23 @@
 #[test]
 fn team_quotas_hold_under_load() {
     let jobs = (1..6)
-        .map(|n| short_job(&format!("run-{n}"), JobKind::Array, 6))
+        .map(|number| short_job(&format!("run-{number}"), JobKind::Array, 6))
         .collect();
     let mut cluster = cluster_with(jobs);
-    for n in 1..6 {
-        assert_completes(&mut cluster, &format!("run-{n}"), 200_000);
+    for number in 1..6 {
+        assert_completes(&mut cluster, &format!("run-{number}"), 200_000);
     }
 }
 
-/// Starts once waited for the machine's next report, on average half an interval.
+/// Guards against starts that wait for the machine's next heartbeat, half an interval on average.
 #[test]
 fn durable_start_is_delivered_without_waiting_for_a_heartbeat() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    for n in 2..7 {
-        // At various times within a report's interval; not more often than a worker reports so.
-        cluster.run(9_000 + 500 * n);
-        let id = format!("run-{n}");
+    for number in 2..7 {
+        // At various times within a heartbeat interval, and less often than early heartbeats are sent.
+        cluster.run(9_000 + 500 * number);
+        let id = format!("run-{number}");
         cluster.submit(short_job(&id, JobKind::Service, 1));
         let before = cluster.starts;
         assert!(
@@ -61,39 +60,40 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Machines that came up while a round was being planned for others once lost one report's
-/// interval each before they had anything to do.
+/// Guards against machines that boot while a round is planned for others, and lose a heartbeat
+/// interval before they get tasks.
 #[test]
 fn machines_that_boot_together_all_get_tasks_at_once() {
     let mut cluster = SimulatedCluster::new(3, 40.0);
     cluster.run(2_000);
-    for n in 0..10 {
-        let job = lasting_job(&format!("run-{n}"), JobKind::Array, 4, 300.0);
+    for number in 0..10 {
+        let job = lasting_job(&format!("run-{number}"), JobKind::Array, 4, 300.0);
         cluster.submit(job);
     }
     assert!(cluster.run_until(60_000, |w| w.starts > 0));
-    // The first is rented for at once, the others a second later: less than a report's interval.
+    // Machines are rented for the first at once, for the others a second later: less than a
+    // heartbeat interval.
     cluster.run(2_000);
     assert_eq!((cluster.workers.len(), cluster.starts), (10, 40));
 }
 
-/// With the cloud out of reach since its start a node knows no machine types; it once was not
-/// ready for as long, and no question was answered.
+/// A node that has not reached the cloud since its start knows no machine types: it becomes ready
+/// all the same, so that status queries are answered.
 #[test]
 fn nodes_become_ready_without_machine_types() {
     let mut cluster = SimulatedCluster::new(3, 8.0);
     cluster.faults.cloud_unavailable = true;
     cluster.run(5_000);
-    assert!((0..3).all(|n| !cluster.engine(n).unwrap().view().ready));
+    assert!((0..3).all(|node| !cluster.engine(node).unwrap().view().ready));
     cluster.run(10_000);
-    assert!((0..3).all(|n| cluster.engine(n).unwrap().view().ready));
+    assert!((0..3).all(|node| cluster.engine(node).unwrap().view().ready));
     cluster.faults.cloud_unavailable = false;
     cluster.run(5_000);
     cluster.submit(short_job("run-1", JobKind::Array, 1));
     assert_completes(&mut cluster, "run-1", 60_000);
 }
 
-/// A gang that needs more starts than one record holds was once accepted and never placed.
+/// A gang needs more starts than one record holds.
 #[test]
 fn starts_of_a_large_gang_span_several_records() {
     for lose_every in [0, 2] {
--- a/src/engine/tests/large_fleet.rs
+++ b/src/engine/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of the size that the service is built for.
+//! Fleets of full size.
 
 use super::simulated_cluster::{SimulatedCluster, UNLIMITED_GPUS};
 use super::support::{lasting_job, short_job};
@@ -13,10 +13,10 @@
     cluster.page_items = constants::STORE_LIST_PAGE_ITEMS as usize;
     cluster.run(2_000);
     let tasks = 4 * machines as u64;
-    for n in 0..tasks / 80 {
-        let mut service = short_job(&format!("run-1{n}"), JobKind::Service, 8);
+    for number in 0..tasks / 80 {
+        let mut service = short_job(&format!("run-1{number}"), JobKind::Service, 8);
         (service.priority, service.spread_zones) = (Priority::Production, true);
-        let array = lasting_job(&format!("run-2{n}"), JobKind::Array, 72, 3_000.0);
+        let array = lasting_job(&format!("run-2{number}"), JobKind::Array, 72, 3_000.0);
         cluster.submit(service);
         cluster.submit(array);
     }
@@ -41,38 +41,35 @@
         cluster.run(30_000);
         let steady = cluster.engine_time / 30;
         cluster.engine_time = Duration::ZERO;
-        for n in 0..40 {
-            let mut gang = short_job(&format!("run-3{n}"), JobKind::Gang, 16);
+        for number in 0..40 {
+            let mut gang = short_job(&format!("run-3{number}"), JobKind::Gang, 16);
             (gang.gpus, gang.single_zone) = (4.0, true);
             cluster.submit(gang);
         }
         cluster.faults.zone_capacity = Some(1);
         cluster.run(30_000);
-        let short = cluster.engine_time / 30;
-        for n in 0..960 {
-            cluster.submit(short_job(&format!("run-4{n}"), JobKind::Array, 8));
+        let without_capacity = cluster.engine_time / 30;
+        for number in 0..960 {
+            cluster.submit(short_job(&format!("run-4{number}"), JobKind::Array, 8));
         }
         cluster.engine_time = Duration::ZERO;
         cluster.run(30_000);
-        let many = cluster.engine_time / 30;
+        let with_more_jobs = cluster.engine_time / 30;
         println!(
-            "{machines} machines: start of the day {start:?} in all; a second of heartbeats alone \
-             {steady:?}, with 40 large gangs for which there is no room {short:?}, and with 960 \
-             more jobs {many:?}"
+            "{machines} machines: start {start:?} in all; a second of heartbeats alone \
+             {steady:?}, with 40 large gangs for which there is no capacity {without_capacity:?}, and with 960 \
+             more jobs {with_more_jobs:?}"
         );
     }
 }
 
-/// The longest steps by what they begin with, at the start of a day and through a change of leader.
+/// The longest steps by what they begin with, when the fleet starts and through a failover.
 #[test]
 #[ignore = "measures, decides nothing"]
 fn measure_longest_engine_steps() {
     for machines in [200, 1_000, 4_000] {
         let mut cluster = fleet(machines);
-        println!(
-            "{machines} machines, start of the day: {:?}",
-            cluster.longest_steps
-        );
+        println!("{machines} machines, start: {:?}", cluster.longest_steps);
         cluster.longest_steps.clear();
         cluster.crash_leader();
         cluster.submit(short_job("run-9", JobKind::Array, 40));
@@ -95,12 +92,12 @@
         .collect()
 }
 
-/// All workers find the new leader within a second, with late copies among their heartbeats. Each is
-/// heard, keeps its lease and its tasks, and gets work; nobody else takes over.
+/// All workers find the new leader within a second, with late copies among their heartbeats. Each
+/// keeps its lease and its tasks, and gets new ones; no other node is elected.
 #[test]
 fn large_fleet_reports_after_a_failover() {
     let mut cluster = fleet(1_900);
-    // Until a machine that has not come up would be given up on.
+    // Longer than a machine may take to boot.
     cluster.run(30_000);
     let (busy, starts, term) = (cluster.busy_machines(), cluster.starts, cluster.term());
     let copies = last_heartbeats(&cluster, &busy);
@@ -115,7 +112,7 @@
     assert_eq!(cluster.term(), term + 1);
     cluster.submit(short_job("run-9", JobKind::Array, 40));
     assert!(cluster.run_until(60_000, |w| w.is_done("run-9")));
-    assert_eq!(cluster.term(), term + 1, "nobody else took over");
+    assert_eq!(cluster.term(), term + 1, "no other node was elected");
     assert_eq!(
         (cluster.all_running_tasks(), cluster.starts),
         (7_600, starts + 40)
@@ -129,18 +126,18 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Half of the fleet hangs at once, is replaced, and sends late copies meanwhile; the leader ends
-/// in the midst of it. Every task is placed again, services first, and none runs twice.
+/// Half of the fleet hangs at once and is replaced, late copies of its heartbeats arrive, and the
+/// leader crashes meanwhile. Every task is placed again, services first, and none runs twice.
 #[test]
 fn tasks_of_half_a_large_fleet_are_placed_again() {
     let mut cluster = fleet(1_000);
-    let dead: Vec<String> = cluster.workers.keys().step_by(2).cloned().collect();
+    let hung: Vec<String> = cluster.workers.keys().step_by(2).cloned().collect();
     let tasks_on = |machine: &String| cluster.workers[machine].tasks.len() as u64;
-    let lost: u64 = dead.iter().map(tasks_on).sum();
+    let lost: u64 = hung.iter().map(tasks_on).sum();
     let starts = cluster.starts;
     let services = cluster.running_tasks_of_jobs("run-1");
-    let copies = last_heartbeats(&cluster, &dead);
-    cluster.faults.hung_machines.extend(dead.iter().cloned());
+    let copies = last_heartbeats(&cluster, &hung);
+    cluster.faults.hung_machines.extend(hung.iter().cloned());
     cluster.run(17_500);
     let leader = cluster.crash_leader();
     cluster.run(300);
@@ -170,7 +167,7 @@
     );
     assert_eq!(cluster.starts, starts + lost);
     assert!(
-        dead.iter()
+        hung.iter()
             .all(|machine| cluster.returned_machines.contains(machine))
     );
     assert_eq!(cluster.violations, Vec::<String>::new());
--- a/src/engine/tests/leadership.rs
+++ b/src/engine/tests/leadership.rs
@@ -8,13 +8,15 @@
 fn leader_refused_by_the_state_service_is_replaced() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    let old = cluster.leader().unwrap();
-    cluster.faults.store_refuses.insert(old);
-    assert!(cluster.run_until(2 * constants::LEASE_TTL_MS, |w| {
-        w.leader().is_some_and(|leader| leader != old)
+    let former_leader = cluster.leader().unwrap();
+    cluster.faults.store_refuses.insert(former_leader);
+    assert!(cluster.run_until(2 * constants::LEASE_TTL_MS, |cluster| {
+        cluster
+            .leader()
+            .is_some_and(|leader| leader != former_leader)
     }));
     cluster.run(2_000);
-    assert!(!cluster.engine(old).unwrap().view().leading);
+    assert!(!cluster.engine(former_leader).unwrap().view().leading);
     cluster.submit(short_job("run-2", JobKind::Array, 2));
     assert_completes(&mut cluster, "run-2", 60_000);
     assert_eq!(cluster.starts, 3, "nothing was started again");
@@ -24,10 +26,10 @@
 fn leader_without_workers_transfers_leadership() {
     let mut cluster = cluster_with_two_services();
     cluster.run(5_000);
-    let (old, busy) = (cluster.leader().unwrap(), cluster.busy_machines());
-    cluster.faults.nodes_without_workers.insert(old);
+    let (former_leader, busy) = (cluster.leader().unwrap(), cluster.busy_machines());
+    cluster.faults.nodes_without_workers.insert(former_leader);
     cluster.run(45_000);
-    assert_ne!(cluster.leader(), Some(old));
+    assert_ne!(cluster.leader(), Some(former_leader));
     assert!(
         !cluster
             .returned_machines
@@ -38,41 +40,38 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// A leader without state service and peers, but with its workers: it lets them go, and its
-/// successor returns none of them meanwhile.
+/// A leader without state service and peers, but with its workers, gives up leadership, and its
+/// successor returns none of the machines meanwhile.
 #[test]
 fn leader_isolated_with_its_workers_gives_up_leadership() {
     let mut cluster = cluster_with_two_services();
     cluster.run(10_000);
     let busy = cluster.busy_machines();
-    let old = cluster.leader().unwrap();
-    cluster.faults.store_refuses.insert(old);
-    cluster.faults.nodes_without_peers.insert(old);
-    assert!(cluster.run_until(8_000, |w| w.leader() != Some(old) && w.leader().is_some()));
-    cluster.run(8_000);
-    let alone = cluster.engine(old).unwrap().view();
-    assert!(!alone.leading, "it has given up within half of the grace");
-    assert!(!alone.ready, "users are served elsewhere");
-    cluster.cancel("run-2");
-    cluster.run(12_000);
-    assert_eq!(
-        (
-            cluster.running_tasks("run-1"),
-            cluster.running_tasks("run-2")
-        ),
-        (4, 0)
+    let former_leader = cluster.leader().unwrap();
+    cluster.faults.store_refuses.insert(former_leader);
+    cluster.faults.nodes_without_peers.insert(former_leader);
+    assert!(
+        cluster.run_until(8_000, |w| w.leader() != Some(former_leader)
+            && w.leader().is_some())
     );
+    cluster.run(8_000);
+    let status = cluster.engine(former_leader).unwrap().view();
     assert!(
-        !cluster
-            .returned_machines
-            .iter()
-            .any(|machine| busy.contains(machine))
+        !status.leading,
+        "it gives up within half of the grace period"
     );
+    assert!(!status.ready, "users are served by other nodes");
+    cluster.cancel("run-2");
+    cluster.run(12_000);
+    let running = ["run-1", "run-2"].map(|id| cluster.running_tasks(id));
+    assert_eq!(running, [4, 0]);
+    let mut returned = cluster.returned_machines.iter();
+    assert!(!returned.any(|machine| busy.contains(machine)));
     assert_eq!(cluster.starts, 8);
     assert_eq!(cluster.violations, Vec::<String>::new());
-    // A follower in the same state keeps nobody either.
+    // An isolated follower gives up its workers, too.
     let follower = (0..3)
-        .find(|n| *n != old && Some(*n) != cluster.leader())
+        .find(|node| *node != former_leader && Some(*node) != cluster.leader())
         .unwrap();
     cluster.faults = Default::default();
     cluster.run(10_000);
@@ -83,14 +82,15 @@
     assert_eq!((cluster.running_tasks("run-1"), cluster.starts), (4, 8));
 }
 
-/// Cancelled through another node while the leader hears nothing from the state service and
-/// nobody can take over: the leader stops answering in time for the worker's lease to end.
+/// The job is cancelled through another node while the state service refuses the leader and no
+/// other node is up to succeed it: the leader stops accepting heartbeats early enough for the
+/// worker's lease to expire in time.
 #[test]
 fn cancellation_stops_tasks_of_an_isolated_leader() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
     let leader = cluster.leader().unwrap();
-    for node in (0..3).filter(|n| *n != leader) {
+    for node in (0..3).filter(|node| *node != leader) {
         cluster.crash(node);
     }
     cluster.faults.store_refuses.insert(leader);
@@ -101,8 +101,8 @@
     assert_eq!(cluster.running_tasks("run-1"), 0);
 }
 
-/// While connections between nodes were refused, followers stood in for a leader that was well,
-/// kept the machines that came up, and had them taken for dead.
+/// Guards against followers that take a healthy leader for lost because connections between nodes
+/// fail: they must not keep workers that report to them, so that these are taken for dead.
 #[test]
 fn unreachable_peers_do_not_keep_workers_from_the_leader() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
@@ -110,7 +110,7 @@
     let (leader, term) = (cluster.leader(), cluster.term());
     cluster.faults.nodes_without_peers.extend([0, 1, 2]);
     cluster.run(5_000);
-    // It needs a machine that is not there yet, and whose worker begins with a follower.
+    // It needs a machine that is not rented yet, and whose worker first reports to a follower.
     cluster.initial_node = leader.map(|leader| (leader + 1) % 3);
     cluster.submit(short_job("run-2", JobKind::Gang, 7));
     assert_completes(&mut cluster, "run-2", 60_000);
--- a/src/engine/tests/machine_lists.rs
+++ b/src/engine/tests/machine_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of machines that the cloud gets wrong.
+//! Wrong machine lists of the cloud.
 
 use super::simulated_cluster::{ListFault, SimulatedCluster};
 use super::support::{cluster_with, short_job};
@@ -11,8 +11,9 @@
     cluster
 }
 
-/// A list that never ends, or repeats a page, once kept all of the cloud's calls busy. It is given up
-/// and read again later; nothing that runs is lost meanwhile, and a right list is taken in again.
+/// A list that never ends, or repeats a page, must not keep all of the cloud's calls busy. It is
+/// abandoned and read again later; no running task is lost meanwhile, and a correct list is
+/// accepted again.
 #[test]
 fn endless_machine_list_is_abandoned_and_read_again() {
     for fault in [ListFault::Repeats, ListFault::Endless] {
@@ -23,11 +24,11 @@
         cluster.run(60_000);
         let pages = cluster.listed_pages - before;
         let lists = 60_000 / constants::MACHINE_LIST_INTERVAL_MS + 1;
-        let most = match fault {
+        let max_pages = match fault {
             ListFault::Repeats => 2 * lists,
             _ => lists * u64::from(constants::MAX_MACHINE_LIST_PAGES + 1),
         };
-        assert!(pages <= most, "{fault:?}: {pages} pages in a minute");
+        assert!(pages <= max_pages, "{fault:?}: {pages} pages in a minute");
         cluster.faults.machine_list = ListFault::None;
         cluster.run(60_000);
         assert_eq!(
@@ -54,8 +55,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// A new leader whose first list never ends takes the fleet for neither empty nor complete: it rents
-/// nothing until a list has ended.
+/// A new leader whose first list never ends takes the fleet for neither empty nor complete: it
+/// rents no machine until a list has ended.
 #[test]
 fn endless_machine_list_is_not_taken_for_an_empty_fleet() {
     let mut cluster = cluster_with_machines();
--- a/src/engine/tests/machines.rs
+++ b/src/engine/tests/machines.rs
@@ -33,7 +33,7 @@
         cluster.returned_machines.contains(&machine),
         "the sick machine is given back"
     );
-    let healthy = cluster.returned_machines.len();
+    let returned_before = cluster.returned_machines.len();
     cluster.submit(short_job("run-4", JobKind::Array, 1));
     cluster.faults.failing_jobs.insert("run-4".into());
     let before = cluster.starts;
@@ -43,10 +43,10 @@
         "{} starts of a job that fails",
         cluster.starts - before
     );
-    let blamed = cluster.returned_machines[healthy..]
+    let returned = cluster.returned_machines[returned_before..]
         .iter()
         .filter(|machine| cluster.machine_of("run-4").as_ref() == Some(*machine));
-    assert_eq!(blamed.count(), 0);
+    assert_eq!(returned.count(), 0);
 }
 
 #[test]
@@ -79,8 +79,8 @@
     assert_eq!(cluster.running_tasks("run-1"), 1);
 }
 
-/// A machine whose reports arrive, but whom no answer reaches, once counted as heard: it was
-/// given work again and again, and never returned.
+/// Guards against a machine that counts as alive because its heartbeats arrive, although no reply
+/// reaches it: it must get no tasks, and be returned.
 #[test]
 fn machine_without_replies_gets_no_tasks_and_is_replaced_once_returned() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
@@ -92,7 +92,7 @@
         .machines_without_replies
         .insert(machine.clone());
     cluster.run(10_000);
-    // It asked another node meanwhile: from here on it can be seen that it hears nothing.
+    // It has turned to another node meanwhile, which shows that it receives no replies.
     cluster.submit(short_job("run-2", JobKind::Array, 3));
     assert!(
         cluster.run_until(60_000, |w| w.is_done("run-2")),
@@ -105,7 +105,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// The same for a machine that never heard this leader, with a task on it from before.
+/// The same for a machine that has received no reply from this leader, with a task from before the
+/// failover.
 #[test]
 fn machine_without_replies_since_a_failover_is_replaced() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
@@ -121,8 +122,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Copies of reports, seconds to several leases old, at every node: to the leader that had them,
-/// to a new one, and of a machine that is gone.
+/// Copies of heartbeats, seconds to several leases old, arrive at every node: at the leader that
+/// had them, at a new one, and of a machine that is gone.
 #[test]
 fn stale_heartbeats_neither_keep_nor_restore_a_machine() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
@@ -143,9 +144,9 @@
     cluster.crash_leader();
     cluster.run(6_000);
     cluster.submit(short_job("run-2", JobKind::Gang, 4));
-    // A machine rented at once takes 20 s to boot; the image takes 8 s, the work 10 s.
+    // A machine rented at once boots for 20 s; the image is fetched for 8 s, the tasks run for 10 s.
     for _ in 0..48 {
-        // The new leader has never heard of that machine: its room must not be counted on.
+        // The new leader has no heartbeat of that machine: its resources must not count.
         cluster.redeliver_heartbeats(&heartbeats);
         cluster.run(1_000);
     }
@@ -154,7 +155,7 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// A worker that restarts before anyone has missed it: a new session at the same address.
+/// A worker restarts before its lease has expired: a new incarnation at the same address.
 #[test]
 fn restarted_worker_gets_its_tasks_again() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 3)]);
@@ -169,8 +170,7 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// When the work beside them had ended, services stood on half-empty machines until the end of the
-/// day: each machine kept the next one's replicas company.
+/// Guards against services that stay on half-empty machines after the tasks beside them have ended.
 #[test]
 fn half_empty_service_machines_are_consolidated() {
     let mut cluster = cluster_with(vec![
@@ -184,8 +184,8 @@
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-3") == 2));
     assert_eq!(cluster.workers.len(), 2);
     cluster.cancel("run-1");
-    let joined = cluster.run_until(150_000, |w| w.workers.len() == 1);
-    assert!(joined, "{}", cluster.describe());
+    let consolidated = cluster.run_until(150_000, |w| w.workers.len() == 1);
+    assert!(consolidated, "{}", cluster.describe());
     let both = |w: &SimulatedCluster| w.running_tasks("run-2") + w.running_tasks("run-3") == 4;
     assert!(cluster.run_until(10_000, both), "{}", cluster.describe());
     assert_eq!(cluster.violations, Vec::<String>::new());
--- a/src/engine/tests/message_reordering.rs
+++ b/src/engine/tests/message_reordering.rs
@@ -1,7 +1,7 @@
-//! Guards that matter only when messages cross: each test fails if its guard is taken out.
+//! Late and overtaken messages. Each test fails if the guard against them is removed.
 
-use super::simulated_cluster::SimulatedCluster;
-use super::support::{assert_completes, cluster_with, lasting_job, short_job};
+use super::simulated_cluster::{Millis, SimulatedCluster};
+use super::support::{assert_completes, cluster_with, dependent_job, lasting_job, short_job};
 use crate::engine::records;
 use crate::wire::user::{JobKind, JobState};
 use crate::wire::worker::{Task, TaskState};
@@ -12,7 +12,7 @@
     cluster.returned_machines.iter().filter(same).count()
 }
 
-/// One machine has done its work and has been idle for nearly as long as it is kept.
+/// A cluster whose only machine has completed its task and is idle.
 fn cluster_with_one_idle_machine() -> (SimulatedCluster, String) {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Array, 1)]);
     assert_completes(&mut cluster, "run-1", 60_000);
@@ -21,14 +21,14 @@
     (cluster, machines[0].clone())
 }
 
-/// Guards against room of a machine that has been returned: a report with the leader's own token
-/// arrives after the return was answered, and brought the machine back as one that is up. Work placed
-/// there waited until it was found silent, and it was returned again.
+/// Guards against resources of a returned machine: a heartbeat with the leader's own fencing token
+/// arrives after the return was confirmed, and must not restore the machine. Tasks placed there
+/// would wait until its lease expires.
 #[test]
 fn late_heartbeat_does_not_restore_a_returned_machine() {
     let (mut cluster, machine) = cluster_with_one_idle_machine();
     let mut heartbeats = cluster.heartbeats_of(&machine);
-    // The others name a lower token, or a task.
+    // The others name a lower fencing token, or a task.
     heartbeats.drain(..heartbeats.len() - 1);
     assert!(cluster.run_until(120_000, |w| returns(w, &machine) == 1));
     cluster.run(1_000);
@@ -44,27 +44,27 @@
     assert_eq!(returns(&cluster, &machine), 1);
 }
 
-/// The same of the cloud's list, made before a return and answered after it.
+/// The same for the cloud's machine list, made before a return and received after it.
 #[test]
 fn late_machine_list_does_not_restore_a_returned_machine() {
     let (mut cluster, machine) = cluster_with_one_idle_machine();
-    // Longer than the pause between two lists: one is under way whenever a machine is returned.
+    // Longer than the pause between two lists: one is pending whenever a machine is returned.
     cluster.faults.machine_list_delay = 7_000;
     assert!(cluster.run_until(120_000, |w| returns(w, &machine) == 1));
     cluster.run(60_000);
     assert_eq!(returns(&cluster, &machine), 1);
 }
 
-/// Guards against placements of an earlier office: what they name has ended under another leader, and
-/// no round tells of it any more. The task counted as placed for ever.
+/// Guards against placements of a former term: they ended under another leader, and no round names
+/// them any more. Their tasks would count as placed for ever.
 #[test]
 fn reelected_leader_forgets_placements_of_its_former_term() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
     let first = cluster.leader().unwrap();
     cluster.faults.store_refuses.insert(first);
-    assert!(cluster.run_until(20_000, |w| {
-        w.leader().is_some_and(|leader| leader != first)
+    assert!(cluster.run_until(20_000, |cluster| {
+        cluster.leader().is_some_and(|leader| leader != first)
     }));
     cluster.faults.store_refuses.clear();
     cluster.run(5_000);
@@ -87,31 +87,30 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against an answer of the watch that a newer one has overtaken: taken in, it set the node
-/// back to the older revision, and a question whose news came after the newer one got no answer.
+/// Guards against a watch reply that a newer one has overtaken: it must not set the node back to
+/// the older revision, so that status queries that wait for the newer one get no reply.
 #[test]
 fn overtaken_watch_reply_changes_nothing() {
-    const LATE: u64 = 900;
+    const REPLY_DELAY: Millis = 900;
     for offset in [0, 130, 260, 390] {
         let first = lasting_job("run-1", JobKind::Service, 1, 300.0);
-        let mut second = short_job("run-2", JobKind::Array, 1);
-        second.depends_on = vec!["run-1".into()];
+        let second = dependent_job("run-2", JobKind::Array, 1, &["run-1"]);
         let mut cluster = cluster_with(vec![first, second]);
         cluster.run(20_000);
-        // Nobody writes the dependant's end.
+        // Without a leader no final record of the dependent is written.
         let leader = cluster.crash_leader();
         let node = (leader + 1) % 3;
         cluster.run(offset);
-        cluster.faults.watch_delay.insert(node, LATE);
-        // The watch tells of this, late.
+        cluster.faults.watch_delay.insert(node, REPLY_DELAY);
+        // The watch reply with this change is late.
         cluster.submit(short_job("run-3", JobKind::Array, 1));
         cluster.faults.watch_delay.clear();
         cluster.cancel("run-1");
-        let sent = cluster.now;
+        let cancelled_at = cluster.now;
         let cancelled = Some(JobState::Cancelled);
         assert_eq!(cluster.blocked_job_state(node, "run-2"), cancelled);
-        cluster.run(sent + LATE - 20 - cluster.now);
-        // What answers this question comes after the watch's answer.
+        cluster.run(cancelled_at + REPLY_DELAY - 20 - cluster.now);
+        // The change that this query waits for comes after the late watch reply.
         cluster.faults.watch_delay.insert(node, 60);
         assert_eq!(
             cluster.blocked_job_state(node, "run-2"),
@@ -121,9 +120,8 @@
     }
 }
 
-/// Guards against room that is out of date: a task that was started is named for the first time, and
-/// neither runs nor fetches, since its gang is not complete. The machine's lock was not taken off until
-/// something else on it changed.
+/// Guards against a stale snapshot: a started task is reported for the first time and neither runs
+/// nor fetches, since its gang is incomplete. Its machine must be unlocked at once.
 #[test]
 fn started_task_waiting_for_its_gang_unlocks_its_machine() {
     let (mut cluster, machine) = cluster_with_one_idle_machine();
@@ -149,8 +147,8 @@
     assert_completes(&mut cluster, "run-2", 60_000);
 }
 
-/// Guards against tasks that are taken for present: a report is compared task by task only if it does
-/// not name as many as are placed there, and here it names one less.
+/// Guards against tasks taken for present: a heartbeat is compared task by task only if it names
+/// another number of tasks than are placed there, and here it names one less.
 #[test]
 fn lost_task_is_placed_again() {
     for tasks in [1, 3] {
@@ -167,14 +165,14 @@
     }
 }
 
-/// Guards against stops that are sent directly only: none of them arrives here, and the answers to
-/// reports carry them as well.
+/// Guards against stops that are sent directly only: direct commands are lost here, and heartbeat
+/// replies carry them as well.
 #[test]
 fn stops_are_also_sent_with_heartbeat_replies() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Gang, 2)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 2));
     cluster.faults.lose_direct_commands = true;
-    // One of the gang is gone: the other is stopped.
+    // One task of the gang is lost: the other is stopped.
     let mut workers = cluster.workers.values_mut();
     assert!(workers.any(|worker| worker.tasks.remove("run-1/0").is_some()));
     let stopped =
--- a/src/engine/tests/partitions.rs
+++ b/src/engine/tests/partitions.rs
@@ -60,8 +60,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Cut off from the state service as well, the node of the zone once let its workers go after half
-/// of the time that it may keep them.
+/// Guards against a node that gives its workers up after half of the grace period: its zone is
+/// partitioned, and the state service refuses it as well.
 #[test]
 fn isolated_zone_keeps_tasks_for_the_whole_grace_period() {
     let service = short_job("run-1", JobKind::Service, 3).in_zone("west");
--- a/src/engine/tests/replay/coverage.rs
+++ b/src/engine/tests/replay/coverage.rs
@@ -1,4 +1,5 @@
-//! What the recorded scripts exercise, so that agreement with them means something.
+//! Coverage of the recorded scripts: agreement with them means something only if they exercise the
+//! engine.
 
 use super::scenarios::SCENARIOS;
 use super::{read, script};
@@ -24,7 +25,7 @@
     assert!(replaced, "no leader was replaced");
 }
 
-/// How often each kind of thing occurs in the scripts.
+/// How often each kind of command, effect and task state occurs in the scripts.
 #[derive(Debug, Default)]
 struct Coverage {
     counts: BTreeMap<String, usize>,
@@ -44,14 +45,14 @@
         }
         for command in &step.commands {
             self.count(kind_of_command(command));
-            for state in reported(command) {
+            for state in task_states_in(command) {
                 self.count(state);
             }
         }
         for effect in &step.outcome.effects {
             self.count(kind_of_effect(effect));
-            for verb in told(effect) {
-                self.count(verb);
+            for command in commands_of(effect) {
+                self.count(command);
             }
         }
         if step.outcome.status.leading {
@@ -148,7 +149,7 @@
 }
 
 /// The states in which a heartbeat reports its tasks, with the reason of those that have ended.
-fn reported(command: &script::Command) -> Vec<String> {
+fn task_states_in(command: &script::Command) -> Vec<String> {
     let script::Command::Heartbeat { body, .. } = command else {
         return Vec::new();
     };
@@ -161,8 +162,8 @@
     tasks.iter().map(state).collect()
 }
 
-/// What a worker is told.
-fn told(effect: &script::Effect) -> Vec<String> {
+/// The commands that an effect sends to a worker.
+fn commands_of(effect: &script::Effect) -> Vec<String> {
     let (script::Effect::WorkerCommands { body, .. }
     | script::Effect::Reply {
         reply: script::Reply::HeartbeatAnswer(body),
@@ -172,12 +173,12 @@
         return Vec::new();
     };
     let answer = body.decoded();
-    let verb = |order: &rmpv::Value| format!("told {}", order["verb"].as_str().unwrap());
+    let command = |order: &rmpv::Value| format!("told {}", order["verb"].as_str().unwrap());
     answer["orders"]
         .as_array()
         .unwrap()
         .iter()
-        .map(verb)
+        .map(command)
         .collect()
 }
 
--- a/src/engine/tests/replay/mirror.rs
+++ b/src/engine/tests/replay/mirror.rs
@@ -1,4 +1,4 @@
-//! Between the engine's types and those of a script: the only file here that names the engine's.
+//! Conversions between the engine's types and those of a script. No other file here names the engine's.
 
 use super::script;
 use super::script::Body;
@@ -29,7 +29,7 @@
     outcome(&effects, &engine.view())
 }
 
-/// What a step has produced.
+/// The outcome of a step.
 pub(crate) fn outcome(effects: &[Effect], view: &EngineStatus) -> script::Outcome {
     script::Outcome {
         effects: effects.iter().map(record_effect).collect(),
--- a/src/engine/tests/replay/mod.rs
+++ b/src/engine/tests/replay/mod.rs
@@ -1,7 +1,7 @@
-//! Recorded scripts, replayed: the engine answers them byte for byte as it did when they were made.
+//! Recorded scripts, replayed: the engine's effects are byte for byte those of the recording.
 //!
-//! The files in `tests/fixtures/replay/` hold all that was told to the engines of a few simulated
-//! clusters, with the effects of every step. They guard refactorings: a change that keeps the
+//! The files in `tests/fixtures/replay/` hold all commands to the engines of a few simulated clusters,
+//! with the effects of every step. They guard refactorings: a change that keeps the
 //! engine's behavior keeps these effects, and the files with them.
 
 mod coverage;
@@ -55,7 +55,7 @@
     }
 }
 
-/// Guards against a recorder that leaves out something on which the engine depends.
+/// Guards against a recorder that omits something on which the engine depends.
 #[test]
 fn fresh_recordings_are_deterministic_and_replay() {
     for scenario in &SCENARIOS {
@@ -65,8 +65,8 @@
     }
 }
 
-/// Makes the files anew, which only a wanted change of the engine's behavior calls for:
-/// `cargo test --lib write_replay_files -- --ignored`.
+/// Writes the files anew, which only an intended change of the engine's behaviour calls for: `cargo
+/// test --lib write_replay_files -- --ignored`.
 #[test]
 #[ignore = "writes the files that the others read"]
 fn write_replay_files() {
--- a/src/engine/tests/replay/recorder.rs
+++ b/src/engine/tests/replay/recorder.rs
@@ -1,4 +1,4 @@
-//! Writes down what the engines of a simulated cluster are told and what they answer.
+//! Records the commands that the engines of a simulated cluster get, and their effects.
 
 use super::mirror;
 use super::script::{Command, Process, Script, Step};
--- a/src/engine/tests/replay/scenarios/jobs.rs
+++ b/src/engine/tests/replay/scenarios/jobs.rs
@@ -11,25 +11,25 @@
     cluster.submit(short_job("run-2", JobKind::Gang, 3));
     cluster.submit(short_job("run-3", JobKind::Service, 2));
     cluster.run(26_000);
-    let old = cluster.crash_leader();
+    let former_leader = cluster.crash_leader();
     cluster.run(1_000);
     cluster.submit(lasting_job("run-4", JobKind::Array, 12, 4.0));
     cluster.run(9_000);
-    cluster.start(old);
+    cluster.start(former_leader);
     for node in 0..3 {
         cluster.request_task_counts(node, "run-4");
     }
     cluster.run(15_000);
     cluster.cancel("run-3");
     cluster.run(20_000);
-    for (id, why) in [
+    for (id, reason) in [
         ("run-5", ExitReason::GangPeerLost),
         ("run-6", ExitReason::GangIncomplete),
         ("run-7", ExitReason::InsufficientResources),
         ("run-8", ExitReason::AttemptConflict),
         ("run-9", ExitReason::UnknownTask),
     ] {
-        cluster.faults.forced_exits.insert(id.into(), why);
+        cluster.faults.forced_exits.insert(id.into(), reason);
         cluster.submit(lasting_job(id, JobKind::Gang, 2, 5.0));
     }
     cluster.run(20_000);
--- a/src/engine/tests/replay/script.rs
+++ b/src/engine/tests/replay/script.rs
@@ -1,4 +1,4 @@
-//! The format of a recorded script: what one engine process was told, and what it answered.
+//! The format of a recorded script: the commands to an engine process, and their effects.
 //!
 //! Nothing here names a type of the engine, so that the files stay readable whatever the engine's types
 //! are called. Messages of the protocol are kept as their encoded bodies.
@@ -56,7 +56,7 @@
     UnknownJobs { jobs: Vec<String>, reply: u64 },
 }
 
-/// What a peer says of itself.
+/// A peer's announcement.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Announcement {
     pub(crate) node: String,
--- a/src/engine/tests/simulated_cluster/faults.rs
+++ b/src/engine/tests/simulated_cluster/faults.rs
@@ -29,7 +29,7 @@
     pub(crate) lose_commit_reply_every: u64,
     /// Zones can't reach each other.
     pub(crate) zones_partitioned: bool,
-    /// Machines that answer nothing and make no progress.
+    /// Machines that send and execute nothing, and make no progress.
     pub(crate) hung_machines: BTreeSet<String>,
     /// Machines on which every task fails.
     pub(crate) failing_machines: BTreeSet<String>,
--- a/src/engine/tests/simulated_cluster/workers/commands.rs
+++ b/src/engine/tests/simulated_cluster/workers/commands.rs
@@ -6,7 +6,7 @@
 use super::{Worker, WorkerTask, job_of};
 use crate::wire::worker::{DirectCommands, TaskState, WorkerCommand};
 
-/// How often a machine that hangs is looked at with a direct command for it.
+/// Between two attempts to execute direct commands on a machine that hangs.
 const HUNG_RETRY_INTERVAL: Millis = 100;
 
 impl Worker {
@@ -28,7 +28,8 @@
 }
 
 impl SimulatedCluster {
-    /// Direct commands arrive. They count only for the incarnation, and not after a later leader's.
+    /// Direct commands arrive. They are executed only by the incarnation that they name, and not after
+    /// commands of a later leader.
     pub(in super::super) fn receive_direct_commands(
         &mut self,
         machine: String,
--- a/src/engine/tests/simulated_cluster/workers/heartbeats.rs
+++ b/src/engine/tests/simulated_cluster/workers/heartbeats.rs
@@ -148,7 +148,7 @@
             return;
         };
         if hung {
-            // Its timeout counts on once it goes on.
+            // Its timeout is handled once it resumes.
             let timeout = Event::ReceiveReply {
                 machine: machine.into(),
                 sequence,
--- a/src/engine/tests/starvation.rs
+++ b/src/engine/tests/starvation.rs
@@ -1,37 +1,36 @@
 //! Large jobs and jobs of low priority beside a stream of others.
 
-use super::simulated_cluster::SimulatedCluster;
+use super::simulated_cluster::{Millis, SimulatedCluster};
 use super::support::{assert_completes, lasting_job, short_job, whole_machine_gang};
-use crate::wire::user::JobKind;
-use crate::wire::user::Priority;
+use crate::wire::user::{JobKind, Priority};
 
-/// Sixteen whole machines in one zone, that has hardly more, under a stream of small work that
-/// would take each machine as it comes free, and across a take-over.
+/// A gang needs sixteen whole machines in a zone of eighteen, beside a stream of small jobs that
+/// would use each machine as it becomes free, and across a failover.
 #[test]
 fn largest_gang_starts_within_four_minutes_beside_small_jobs() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
     cluster.faults.zone_capacity = Some(18);
     cluster.run(2_000);
-    let mut small = 0;
-    let mut feed = |cluster: &mut SimulatedCluster, ms: u64| {
-        for _ in 0..ms / 1_000 {
+    let mut submitted = 0;
+    let mut submit_small_jobs = |cluster: &mut SimulatedCluster, duration: Millis| {
+        for _ in 0..duration / 1_000 {
             for _ in 0..2 {
-                small += 1;
-                let job = lasting_job(&format!("run-{small}"), JobKind::Array, 2, 20.0);
+                submitted += 1;
+                let job = lasting_job(&format!("run-{submitted}"), JobKind::Array, 2, 20.0);
                 cluster.submit(job);
             }
             cluster.run(1_000);
         }
     };
-    feed(&mut cluster, 60_000);
+    submit_small_jobs(&mut cluster, 60_000);
     let mut large = whole_machine_gang("run-gang", 16);
     large.single_zone = true;
     cluster.submit(large);
-    feed(&mut cluster, 60_000);
+    submit_small_jobs(&mut cluster, 60_000);
     let leader = cluster.crash_leader();
-    feed(&mut cluster, 20_000);
+    submit_small_jobs(&mut cluster, 20_000);
     cluster.start(leader);
-    feed(&mut cluster, 160_000);
+    submit_small_jobs(&mut cluster, 160_000);
     assert!(
         cluster.is_done("run-gang") || cluster.running_tasks("run-gang") == 16,
         "{}",
@@ -40,8 +39,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// The largest array of the lowest priority, and a large service, with less capacity than urgent
-/// work alone asks for.
+/// The largest array, of the lowest priority, and a large service, with less capacity than jobs of
+/// high priority alone request.
 #[test]
 fn largest_array_and_service_start_within_four_minutes_beside_high_priority_jobs() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
@@ -53,7 +52,7 @@
     (service.priority, service.spread_zones) = (Priority::Normal, true);
     let mut urgent = 0;
     for second in 0..340 {
-        // Twice what the eight machines can do.
+        // Twice what the eight machines can run.
         for _ in 0..2 {
             urgent += 1;
             let mut job = short_job(&format!("run-{urgent}"), JobKind::Array, 2);
@@ -66,7 +65,7 @@
         }
         cluster.run(1_000);
     }
-    // Each start counts: nobody is stopped within 30 s of it. Later ones may be, for urgent work.
+    // Each start counts: no task is preempted within 30 s of it, but later it may be.
     for id in ["run-array", "run-service"] {
         assert!(
             cluster.started_jobs.contains(id),
@@ -77,15 +76,15 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// The jobs of a pass were once cut to as many as a round may name: behind that many for which
-/// there was no room, nothing was placed.
+/// Guards against a pass that considers only as many jobs as a round may name: there are more jobs
+/// than that which can't be placed, ahead of one that can.
 #[test]
 fn unplaceable_jobs_at_the_head_of_the_queue_do_not_block_others() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
     cluster.faults.zone_capacity = Some(1);
     cluster.run(2_000);
-    for n in 0..130 {
-        let mut gang = short_job(&format!("run-1{n}"), JobKind::Gang, 16);
+    for number in 0..130 {
+        let mut gang = short_job(&format!("run-1{number}"), JobKind::Gang, 16);
         (gang.gpus, gang.priority) = (4.0, Priority::High);
         cluster.submit(gang);
     }
--- a/src/engine/tests/stored_records.rs
+++ b/src/engine/tests/stored_records.rs
@@ -1,8 +1,8 @@
-//! New leaders carry on from what commit 7111968, the first version with pipelines, has stored. Its
-//! records are given as the bytes that it wrote.
+//! New leaders carry on from the records of commit 7111968, the first version with dependencies, given
+//! as the bytes that it wrote.
 
 use super::simulated_cluster::{SimulatedCluster, UNLIMITED_GPUS};
-use super::support::{assert_completes, short_job};
+use super::support::{assert_completes, dependent_job, short_job};
 use crate::engine::records::{self, RoundRecord};
 use crate::model::TaskSet;
 use crate::wire::user::{JobKind, JobState};
@@ -11,8 +11,8 @@
 /// The number of the round that the fixtures `round`, `round1` and `round2` are records of.
 const ROUND: u64 = 0x10_0001;
 const GANG_TASKS: u64 = 300;
-/// Tasks that the array's fixtures don't call done.
-const UNFINISHED: [u32; 5] = [3, 64, 4_095, 4_097, 4_199];
+/// Tasks that the array's fixtures don't name as completed.
+const INCOMPLETE_TASKS: [u32; 5] = [3, 64, 4_095, 4_097, 4_199];
 
 macro_rules! stored {
     ($name:literal) => {
@@ -25,7 +25,7 @@
     };
 }
 
-/// No node is up while the records are put.
+/// Writes records while no node is up.
 fn without_nodes(cluster: &mut SimulatedCluster, put_records: impl Fn(&mut SimulatedCluster)) {
     cluster.crash_all_nodes();
     cluster.run(6_000);
@@ -33,15 +33,15 @@
     cluster.start_all_nodes();
 }
 
-/// A job's record, and the job itself for the cluster's account of the rules.
+/// Writes a job's record, and makes the job known to the cluster's invariants.
 fn put_job(cluster: &mut SimulatedCluster, record: Value) {
     let job = records::read_job(record.clone()).unwrap().job;
     cluster.put_record(&records::job_key(&job.id), record);
     cluster.jobs.insert(job.id.clone(), job);
 }
 
-/// The end of `run-7`, which others await.
-fn put_done(cluster: &mut SimulatedCluster) {
+/// Writes the final record of `run-7`, on which others depend.
+fn put_dependency_done(cluster: &mut SimulatedCluster) {
     cluster
         .jobs
         .insert("run-7".into(), short_job("run-7", JobKind::Array, 2));
@@ -51,12 +51,12 @@
     cluster.put_record("final/run-7", stored!("final_done"));
 }
 
-/// Whichever way the awaited job ends, and whether before or after the new leader's beginning.
+/// The dependency completes or is cancelled, before the new leader is elected or after it.
 #[test]
 fn stored_blocked_job_is_released_or_cancelled_by_a_new_leader() {
     let mut before = SimulatedCluster::new(3, 8.0);
     without_nodes(&mut before, |cluster| {
-        put_done(cluster);
+        put_dependency_done(cluster);
         put_job(cluster, stored!("waiting"));
     });
     assert_completes(&mut before, "run-8", 120_000);
@@ -84,13 +84,13 @@
     }
 }
 
-/// A released job waits for nothing more, although leaders end one after the other.
+/// A released job depends on nothing more, although leaders crash one after the other.
 #[test]
 fn stored_released_job_is_started_once() {
     for crash_at in [500, 21_000, 24_000, 30_000] {
         let mut cluster = SimulatedCluster::new(3, 8.0);
         without_nodes(&mut cluster, |cluster| {
-            put_done(cluster);
+            put_dependency_done(cluster);
             put_job(cluster, stored!("ready"));
         });
         assert!(cluster.run_until(10_000, |w| w.leader().is_some()));
@@ -105,24 +105,21 @@
     }
 }
 
-/// A dependant's end by another leader goes on to the jobs after it, and stays what it was; a waiting
-/// job that was called off goes, and its dependants with it.
+/// A dependent's final state by another leader propagates to its own dependents, and stays; a
+/// blocked job that was cancelled is removed, and its dependents with it.
 #[test]
 fn stored_final_states_propagate_to_dependents() {
     let mut cluster = SimulatedCluster::new(3, 8.0);
     without_nodes(&mut cluster, |cluster| {
-        put_done(cluster);
-        let mut aborted = short_job("run-10", JobKind::Array, 4);
-        aborted.depends_on = vec!["run-9".into()];
+        put_dependency_done(cluster);
+        let aborted = dependent_job("run-10", JobKind::Array, 4, &["run-9"]);
         cluster.jobs.insert("run-10".into(), aborted);
         cluster.put_record("final/run-10", stored!("final_aborted_dependant"));
-        // Called off, and not yet removed by a leader.
+        // Cancelled, and not yet removed by a leader.
         put_job(cluster, stored!("waiting_cancelled"));
         cluster.cancelled.insert("run-9".into(), cluster.now);
-        for (id, awaited) in [("run-11", "run-10"), ("run-12", "run-9")] {
-            let mut after = short_job(id, JobKind::Array, 1);
-            after.depends_on = vec![awaited.into()];
-            cluster.submit(after);
+        for (id, dependency) in [("run-11", "run-10"), ("run-12", "run-9")] {
+            cluster.submit(dependent_job(id, JobKind::Array, 1, &[dependency]));
         }
     });
     for id in ["run-11", "run-12"] {
@@ -135,23 +132,23 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-fn finished_in_parts() -> TaskSet {
+fn completed_in_progress_records() -> TaskSet {
     let mut done = TaskSet::full(4_200);
-    for task in UNFINISHED {
+    for task in INCOMPLETE_TASKS {
         done.remove(task);
     }
     done
 }
 
-/// Two open rounds name all of the array's tasks, most of which are done by the array's parts: only
-/// the rest is started, once its machines' end is proven.
+/// Two open rounds name all of the array's tasks, most of which are completed in its progress
+/// records: only the others are started, once their machines are known to be gone.
 #[test]
 fn stored_array_continues_from_its_progress_records() {
     for crash_at in [3_000, 25_000, 31_000] {
         let mut cluster = SimulatedCluster::new(3, UNLIMITED_GPUS);
         without_nodes(&mut cluster, |cluster| {
             put_job(cluster, stored!("array"));
-            let done = finished_in_parts();
+            let done = completed_in_progress_records();
             let done = done.iter().map(|task| format!("run-1/{task}"));
             cluster.completed_tasks.extend(done);
             for (key, record) in [
@@ -173,11 +170,13 @@
         let leader = cluster.leader().unwrap();
         cluster.restart(leader, 800);
         assert_completes(&mut cluster, "run-1", 180_000);
-        assert_eq!(cluster.starts, UNFINISHED.len() as u64);
-        let left = |w: &SimulatedCluster| {
-            w.count_keys("work/") + w.count_keys("rounds/") + w.count_keys("live/job/")
+        assert_eq!(cluster.starts, INCOMPLETE_TASKS.len() as u64);
+        let remaining = |cluster: &SimulatedCluster| {
+            cluster.count_keys("work/")
+                + cluster.count_keys("rounds/")
+                + cluster.count_keys("live/job/")
         };
-        assert!(cluster.run_until(20_000, |w| left(w) == 0));
+        assert!(cluster.run_until(20_000, |w| remaining(w) == 0));
     }
 }
 
@@ -194,7 +193,7 @@
 
 /// What became of the starts of a stored round.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Starts {
+enum StoredStarts {
     /// All were executed.
     Run,
     /// Those on the machines of the last record were not.
@@ -204,7 +203,7 @@
 }
 
 /// A cluster with the machines that the round names, idle or gone, and the round's records.
-fn cluster_with_stored_round(became: Starts) -> SimulatedCluster {
+fn cluster_with_stored_round(starts: StoredStarts) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(3, 400.0);
     cluster.run(2_000);
     cluster.submit(short_job("run-99", JobKind::Array, GANG_TASKS));
@@ -220,11 +219,11 @@
         ] {
             cluster.put_record(key, record);
         }
-        if became == Starts::MachinesGone {
+        if starts == StoredStarts::MachinesGone {
             return cluster.workers.clear();
         }
         for (machine, task) in starts_of_round() {
-            if became == Starts::SomeNotExecuted && task >= 256 {
+            if starts == StoredStarts::SomeNotExecuted && task >= 256 {
                 continue;
             }
             let task = format!("run-1/{task}");
@@ -236,14 +235,18 @@
     cluster
 }
 
-/// All parts of the round count: what runs goes on and is not started again, although the next
-/// leader ends as well; what was not executed, or is gone with its machines, is started once more
-/// as a whole.
+/// All records of the round count: tasks that run are not started again, although the next leader
+/// crashes as well; tasks that were not started, or are lost with their machines, are started once
+/// more, as a whole gang.
 #[test]
 fn stored_round_of_several_records_is_carried_on() {
-    for became in [Starts::Run, Starts::SomeNotExecuted, Starts::MachinesGone] {
+    for starts in [
+        StoredStarts::Run,
+        StoredStarts::SomeNotExecuted,
+        StoredStarts::MachinesGone,
+    ] {
         for crash_at in [None, Some(3_000), Some(9_000)] {
-            let mut cluster = cluster_with_stored_round(became);
+            let mut cluster = cluster_with_stored_round(starts);
             if let Some(crash_at) = crash_at {
                 cluster.run(crash_at);
                 if let Some(leader) = cluster.leader() {
@@ -251,14 +254,19 @@
                 }
             }
             assert_completes(&mut cluster, "run-1", 300_000);
-            let again = if became == Starts::Run { 0 } else { GANG_TASKS };
+            let repeated = if starts == StoredStarts::Run {
+                0
+            } else {
+                GANG_TASKS
+            };
             assert_eq!(
                 cluster.starts,
-                GANG_TASKS + again,
-                "{became:?} {crash_at:?}"
+                GANG_TASKS + repeated,
+                "{starts:?} {crash_at:?}"
             );
-            let left = |w: &SimulatedCluster| w.count_keys("rounds/") + w.count_keys("live/job/");
-            assert!(cluster.run_until(20_000, |w| left(w) == 0));
+            let remaining =
+                |w: &SimulatedCluster| w.count_keys("rounds/") + w.count_keys("live/job/");
+            assert!(cluster.run_until(20_000, |w| remaining(w) == 0));
         }
     }
 }
--- a/tests/bad_input.rs
+++ b/tests/bad_input/main.rs
@@ -1,4 +1,4 @@
-//! The answers to bad input, to the letter.
+//! The replies to bad input, to the letter.
 //!
 //! Every case has a name and an outcome: the text of the error, or [`ACCEPTED`]. The outcomes are kept
 //! in `tests/fixtures/errors`, one line each: name, tab, outcome, with line breaks escaped. The cases
@@ -8,17 +8,13 @@
 // Helpers of a test may panic: that is how it fails.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
+#[path = "../support/mod.rs"]
 mod support;
 
-#[path = "bad_input/bounds.rs"]
 mod bounds;
-#[path = "bad_input/messages.rs"]
 mod messages;
-#[path = "bad_input/mutations.rs"]
 mod mutations;
-#[path = "bad_input/requests.rs"]
 mod requests;
-#[path = "bad_input/settings.rs"]
 mod settings;
 
 use std::collections::BTreeSet;
--- a/tests/bad_input/messages.rs
+++ b/tests/bad_input/messages.rs
@@ -47,7 +47,7 @@
     ])
 }
 
-pub(crate) fn report() -> Value {
+pub(crate) fn heartbeat() -> Value {
     let task = map(vec![
         ("piece", "run-000412/0".into()),
         ("try", 1.into()),
@@ -84,7 +84,7 @@
 
 #[test]
 fn heartbeats() {
-    assert_outcomes::<worker::Heartbeat>("report.txt", &report());
+    assert_outcomes::<worker::Heartbeat>("report.txt", &heartbeat());
 }
 
 #[test]
--- a/tests/bad_input/requests.rs
+++ b/tests/bad_input/requests.rs
@@ -1,8 +1,8 @@
-//! What users and workers are answered over HTTP: the status, when to ask again, and the error's text.
+//! Replies to bad requests over HTTP: the status, `Retry-After`, and the error's text.
 
-use super::messages::{report, submission};
+use super::messages::{heartbeat, submission};
 use super::mutations::encode;
-use super::support::{PATIENCE, map, ready_node_where};
+use super::support::{TIMEOUT, map, ready_node_where};
 use super::{Case, assert_fixture};
 use rmpv::Value;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Sends a request on a connection of its own and tells the answer in one line.
+/// The error that the sender of a body gets.
 async fn outcome_of(front: SocketAddr, method: &str, path: &str, body: &[u8]) -> String {
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: {front}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
@@ -24,11 +24,11 @@
         stream.read_to_end(&mut answer).await.unwrap();
         answer
     };
-    let answer = tokio::time::timeout(PATIENCE, exchange).await;
+    let answer = tokio::time::timeout(TIMEOUT, exchange).await;
     describe(&answer.expect("an answer in time"))
 }
 
-/// The status, the header that tells when to ask again, and the body of an answer.
+/// The status, content type, `Retry-After` and body of a reply.
 fn describe(answer: &[u8]) -> String {
     let blank_line = answer.windows(4).position(|bytes| bytes == b"\r\n\r\n");
     let (head, body) = answer.split_at(blank_line.expect("a whole head") + 4);
@@ -67,7 +67,7 @@
     with_fields(submission(), all)
 }
 
-fn awaits(id: &str) -> Vec<u8> {
+fn submission_depending_on(id: &str) -> Vec<u8> {
     job_with(vec![("awaits", Value::Array(vec![id.into()]))])
 }
 
@@ -90,7 +90,7 @@
         ("bad id", job_with(vec![("uid", "job 1".into())])),
         ("no tasks", job_with(vec![("pieces", 0.into())])),
         ("amount below 0", job_with(vec![("gpus", (-1).into())])),
-        ("bad awaited id", awaits("job 1")),
+        ("bad awaited id", submission_depending_on("job 1")),
         (
             "body over 64 KiB",
             job_with(vec![("plate", "x".repeat(70_000).into())]),
@@ -127,8 +127,11 @@
             "service over the limit",
             job_with(vec![("form", "standing".into()), ("gpus", 3.into())]),
         ),
-        ("awaits itself", awaits("run-000412")),
-        ("awaits an unknown job", awaits("run-000411")),
+        ("awaits itself", submission_depending_on("run-000412")),
+        (
+            "awaits an unknown job",
+            submission_depending_on("run-000411"),
+        ),
     ]
 }
 
@@ -145,8 +148,8 @@
     body
 }
 
-fn reports() -> Vec<Request> {
-    let task = |value: Value| with_fields(report(), vec![("pieces", Value::Array(vec![value]))]);
+fn heartbeats() -> Vec<Request> {
+    let task = |value: Value| with_fields(heartbeat(), vec![("pieces", Value::Array(vec![value]))]);
     let bodies = vec![
         ("report with empty body", Vec::new()),
         ("report cut off", vec![0x81]),
@@ -157,7 +160,7 @@
         ),
         (
             "report with sequence as text",
-            with_fields(report(), vec![("tally", "1".into())]),
+            with_fields(heartbeat(), vec![("tally", "1".into())]),
         ),
         ("report with a number for a task", task(7.into())),
         (
@@ -167,7 +170,7 @@
         ("report with an empty task", task(map(vec![]))),
         (
             "report over 64 KiB",
-            with_fields(report(), vec![("host", "x".repeat(70_000).into())]),
+            with_fields(heartbeat(), vec![("host", "x".repeat(70_000).into())]),
         ),
     ];
     let request = |(name, body)| (name, "POST", "/v1/report", body);
@@ -203,7 +206,7 @@
     let node = node.await;
     let mut cases = Vec::new();
     let mut requests = submissions();
-    requests.extend(reports());
+    requests.extend(heartbeats());
     requests.extend(other_requests());
     for (name, method, path, body) in requests {
         let outcome = outcome_of(node.front, method, path, &body).await;
--- a/tests/bad_input/settings.rs
+++ b/tests/bad_input/settings.rs
@@ -52,7 +52,7 @@
 cpu_share = 0.12
 "#;
 
-/// What stands in the place of each value.
+/// Values that replace the value of each field.
 const VALUES: [&str; 30] = [
     "",
     "unquoted",
--- a/tests/dependencies_http/main.rs
+++ b/tests/dependencies_http/main.rs
@@ -1,4 +1,4 @@
-//! What users are told about jobs that depend on others, over HTTP.
+//! Jobs that depend on others, as users see them over HTTP.
 
 // Helpers of a test may panic: that is how it fails.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
--- a/tests/dependencies_http/submissions.rs
+++ b/tests/dependencies_http/submissions.rs
@@ -1,13 +1,13 @@
 //! Submissions that depend on other jobs.
 
-use crate::support::PATIENCE;
+use crate::support::TIMEOUT;
 use crate::user::{final_record, ready_node, reply, submission};
 use std::sync::atomic::Ordering;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Guards against 422 for a job that was accepted: by another node a moment ago, of which this one
-/// has not heard, by another team, or so long ago that only its final state is left.
+/// Guards against 422 for a job that was accepted: by another node a moment ago, which this one
+/// does not know yet, by another team, or so long ago that only its final record is left.
 #[tokio::test]
 async fn any_accepted_job_may_be_a_dependency() {
     let (user, service) = ready_node().await;
@@ -17,9 +17,9 @@
         user.submit(submission("run-1", "speech", &[])).await,
         accepted
     );
-    service.put_unheard("final/run-2", final_record("done"));
-    service.put_unheard("final/run-3", final_record("aborted"));
-    service.put_unheard("live/job/run-4", "not a record".into());
+    service.put_without_change("final/run-2", final_record("done"));
+    service.put_without_change("final/run-3", final_record("aborted"));
+    service.put_without_change("live/job/run-4", "not a record".into());
     for (id, named) in [
         ("run-11", "run-1"),
         ("run-12", "run-2"),
@@ -30,11 +30,11 @@
         assert_eq!(answer, accepted, "{named}");
     }
     let never = submission("run-15", "vision", &["run-1", "run-5"]);
-    assert_eq!(user.submit(never).await.0, 422);
+    assert_eq!(user.submit(never).await.status, 422);
 }
 
-/// Guards against an answer that a user takes for final while the state service can't tell whether
-/// a named job was accepted: 422 would not be retried.
+/// Guards against a final refusal while the state service can't tell whether a dependency was
+/// accepted: 422 would not be retried.
 #[tokio::test]
 async fn submission_is_refused_with_retry_after_while_a_dependency_is_unknown() {
     let (user, service) = ready_node().await;
@@ -48,15 +48,15 @@
     stream.write_all(head.as_bytes()).await.unwrap();
     stream.write_all(&body).await.unwrap();
     let mut answer = Vec::new();
-    let read = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answer)).await;
+    let read = tokio::time::timeout(TIMEOUT, stream.read_to_end(&mut answer)).await;
     read.expect("answered in time").unwrap();
     let answer = String::from_utf8_lossy(&answer).to_lowercase();
     assert!(answer.starts_with("http/1.1 503"), "{answer}");
     assert!(answer.contains("\r\nretry-after: 1\r\n"), "{answer}");
 }
 
-/// Guards against a repeat that is judged anew: whatever it says, and whatever has become of the
-/// jobs that it names, the job stays accepted and its state is told.
+/// Guards against a repeated submission that is validated again: whatever it holds, and whatever
+/// the state of its dependencies, the job stays accepted and its state is returned.
 #[tokio::test]
 async fn repeated_submission_is_idempotent() {
     let (user, _service) = ready_node().await;
@@ -64,7 +64,7 @@
     let last = || submission("run-2", "vision", &["run-1"]);
     assert_eq!(user.submit(first()).await, reply(201, "queued"));
     assert_eq!(user.submit(last()).await, reply(201, "queued"));
-    let too_many: Vec<String> = (0..65).map(|n| format!("run-{n}")).collect();
+    let too_many: Vec<String> = (0..65).map(|number| format!("run-{number}")).collect();
     let too_many: Vec<&str> = too_many.iter().map(String::as_str).collect();
     let repeats = || {
         [
--- a/tests/dependencies_http/upcoming_limits.rs
+++ b/tests/dependencies_http/upcoming_limits.rs
@@ -40,8 +40,8 @@
     ("next = 5", "next", "expected struct"),
 ];
 
-/// Guards against a process that starts with limits that it can't keep: it ends at once, with 2, and
-/// names the field and what is allowed.
+/// Guards against a process that starts with limits that it can't keep: it exits at once with
+/// status 2, and names the field and what is allowed.
 #[test]
 fn node_with_malformed_upcoming_limits_does_not_start() {
     let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
--- a/tests/dependencies_http/user.rs
+++ b/tests/dependencies_http/user.rs
@@ -1,6 +1,6 @@
 //! A user of a node, and the bodies that it sends.
 
-use crate::support::{PATIENCE, StateService, map, ready_node_where};
+use crate::support::{StateService, TIMEOUT, map, ready_node_where};
 use hyper::Method;
 use rmpv::Value;
 use std::net::SocketAddr;
@@ -8,41 +8,60 @@
 use umbervale::http::{Answer, HttpClient};
 use umbervale::wire::encode;
 
+/// What a user learns from a reply.
+#[derive(Debug, Clone, PartialEq)]
+pub(crate) struct JobReply {
+    /// The HTTP status.
+    pub(crate) status: u16,
+    /// The state of the job that the reply names; empty if it names none.
+    pub(crate) state: String,
+}
+
+impl JobReply {
+    fn read(answer: &Answer) -> JobReply {
+        JobReply {
+            status: answer.status,
+            state: state_of(answer),
+        }
+    }
+}
+
 /// A user of one node.
 pub(crate) struct User {
-    pub(crate) http: HttpClient,
+    http: HttpClient,
+    /// The address of the node for users.
     pub(crate) front: SocketAddr,
 }
 
 impl User {
     /// Sends a request.
-    pub(crate) async fn send(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> Answer {
-        let answer = self.http.call(method, self.front, path, body, PATIENCE);
+    async fn send(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> Answer {
+        let answer = self.http.call(method, self.front, path, body, TIMEOUT);
         answer.await.unwrap()
     }
 
-    /// Submits a job: the reply's status, and the state of the job that it names.
-    pub(crate) async fn submit(&self, body: Vec<u8>) -> (u16, String) {
+    /// Submits a job.
+    pub(crate) async fn submit(&self, body: Vec<u8>) -> JobReply {
         let answer = self.send(Method::POST, "/submissions", Some(body)).await;
-        (answer.status, state_of(&answer))
+        JobReply::read(&answer)
     }
 
     /// Asks for the state of a job.
-    pub(crate) async fn query(&self, id: &str) -> (u16, String) {
+    pub(crate) async fn query(&self, id: &str) -> JobReply {
         let path = format!("/submissions/{id}");
         let answer = self.send(Method::GET, &path, None).await;
-        (answer.status, state_of(&answer))
+        JobReply::read(&answer)
     }
 
     /// Cancels a job.
-    pub(crate) async fn cancel(&self, id: &str) -> (u16, String) {
+    pub(crate) async fn cancel(&self, id: &str) -> JobReply {
         let path = format!("/submissions/{id}/cancel");
         let answer = self.send(Method::POST, &path, None).await;
-        (answer.status, state_of(&answer))
+        JobReply::read(&answer)
     }
 }
 
-pub(crate) fn state_of(answer: &Answer) -> String {
+fn state_of(answer: &Answer) -> String {
     let body: Value = rmp_serde::from_slice(&answer.body).unwrap();
     let state = body.as_map().and_then(|fields| {
         let state = fields
@@ -89,8 +108,9 @@
 }
 
 /// A reply that a test expects.
-pub(crate) fn reply(status: u16, state: &str) -> (u16, String) {
-    (status, state.to_owned())
+pub(crate) fn reply(status: u16, state: &str) -> JobReply {
+    let state = state.to_owned();
+    JobReply { status, state }
 }
 
 /// The final record of a job of three tasks.
--- a/tests/http/dependencies.rs
+++ b/tests/http/dependencies.rs
@@ -25,7 +25,7 @@
     assert_eq!(submit("run-1", never.clone()).await, 422);
     assert_eq!(submit("run-1", Value::Nil).await, 201);
     assert_eq!(submit("run-2", job_ids(&[])).await, 201);
-    // Named twice, it counts once.
+    // A dependency that is named twice counts once.
     let most: Vec<&str> = vec!["run-000412"; 100];
     assert_eq!(submit("run-3", job_ids(&most)).await, 201);
     assert_eq!(
@@ -49,7 +49,7 @@
     assert_eq!(client.cancel("/submissions/run-000412").await, 200);
     assert_eq!(client.job_state("/submissions/run-2").await, "aborted");
     assert_eq!(client.job_state("/submissions/run-1").await, "aborted");
-    // Accepted all the same, and cancelled.
+    // It is accepted, and cancelled.
     assert_eq!(submit("run-3", "run-2").await, 201);
     assert_eq!(client.job_state("/submissions/run-3").await, "aborted");
     assert_eq!(submit("run-3", "run-2").await, 200);
--- a/tests/http/overload.rs
+++ b/tests/http/overload.rs
@@ -18,7 +18,7 @@
 #[tokio::test]
 async fn after_an_outage_every_job_is_answered_within_a_few_polls() {
     let (client, service) = node().await;
-    let ids: Vec<String> = (0..200).map(|n| format!("run-{n:06}")).collect();
+    let ids: Vec<String> = (0..200).map(|number| format!("run-{number:06}")).collect();
     for id in &ids {
         let body = submission(with_field("uid", id.as_str()));
         let status = client.submit(body);
@@ -74,17 +74,22 @@
     let (client, _service) = node().await;
     let mut open = Vec::new();
     let mut told_to_close = 0;
-    for n in 0..2 * SOCKETS {
+    for number in 0..2 * SOCKETS {
         let asked = tokio::time::timeout(Duration::from_secs(20), request_ready(client.front));
-        let (stream, answer) = asked.await.unwrap_or_else(|_| panic!("caller {n} waits"));
-        assert!(answer.starts_with("http/1.1 200"), "caller {n}: {answer}");
+        let (stream, answer) = asked
+            .await
+            .unwrap_or_else(|_| panic!("caller {number} waits"));
+        assert!(
+            answer.starts_with("http/1.1 200"),
+            "caller {number}: {answer}"
+        );
         told_to_close += usize::from(answer.contains("connection: close"));
         open.push(stream);
     }
     let kept = open.len() - told_to_close;
     let front = SOCKETS / 2;
     assert!(kept > front / 2 && kept < front, "{kept} stay connected");
-    // Users and workers as well.
+    // A submission as well.
     let status = client.submit(submission(|_| {})).await;
     assert_eq!(status, 201);
 }
@@ -103,7 +108,7 @@
         let answer = http.call(Method::POST, front, path, body, Duration::from_secs(4));
         match answer.await {
             Ok(answer) if answer.status == 200 => answered += 1,
-            // Not the leader yet, or no connection: workers try again.
+            // Not the leader yet, or no connection: the worker retries.
             _ => tokio::task::yield_now().await,
         }
     }
@@ -117,8 +122,8 @@
     let wider = format!("max_connections = {sockets}");
     let (client, _service) = node_with_settings(|text| text.replace(&limit, &wider)).await;
     let mut fleet = tokio::task::JoinSet::new();
-    for n in 0..workers {
-        fleet.spawn(serve_as_worker(client.front, format!("host-{n:06}")));
+    for number in 0..workers {
+        fleet.spawn(serve_as_worker(client.front, format!("host-{number:06}")));
     }
     let mut user_queries = 0;
     let mut open = Vec::new();
@@ -169,10 +174,10 @@
     leads.expect("leads in time");
     service.stalled.store(true, Ordering::Relaxed);
     let mut queries = tokio::task::JoinSet::new();
-    for n in 0..2 * MAX_USER_CALLS {
+    for number in 0..2 * MAX_USER_CALLS {
         let client = client.clone();
         queries.spawn(async move {
-            let path = format!("/submissions/run-{n}");
+            let path = format!("/submissions/run-{number}");
             client.send(Method::GET, &path, None).await
         });
     }
@@ -187,7 +192,7 @@
     assert_eq!(client.status(Method::POST, "/v1/report", body).await, 200);
     assert_eq!(client.get("/ready").await, 200);
     assert_eq!(queries.len(), MAX_USER_CALLS);
-    // The others are not kept for longer than a user waits.
+    // The others are refused before the user's timeout.
     while let Some(late) = queries.join_next().await {
         assert_eq!(late.unwrap().status, 503);
     }
--- a/tests/http/peers.rs
+++ b/tests/http/peers.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use umbervale::peer::{Message, read_frame, write_frame};
 
-/// A leader that the state service refuses hears of a cancellation from the node that confirms it.
+/// A leader that the state service refuses learns of a cancellation from the node that confirms it.
 #[tokio::test]
 async fn cancellation_is_announced_to_peers() {
     let peer = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/tests/http/users.rs
+++ b/tests/http/users.rs
@@ -61,12 +61,12 @@
     assert_eq!(state, "aborted", "a final state needs no read");
 }
 
-/// An accepted job stays known whatever has become of its record: "no answer" for 75 s would be a
-/// job forgotten.
+/// An accepted job stays known whatever its record holds: a job without a state for 75 s counts as
+/// forgotten.
 #[tokio::test]
 async fn job_with_an_unreadable_record_stays_known() {
     let (client, service) = node().await;
-    let put = |key: &str| service.put_unheard(key, Value::from("not a record"));
+    let put = |key: &str| service.put_without_change(key, Value::from("not a record"));
     put("live/job/run-000412");
     let path = "/submissions/run-000412";
     assert_eq!(client.job_state(path).await, "queued");
@@ -77,8 +77,8 @@
     assert_eq!(service.value("live/job/run-000412"), None);
 }
 
-/// Guards against a job that is in neither place where it is looked for, because its end is written
-/// between the two reads: a query, a repeated submission and a cancellation meet it.
+/// Guards against a job that is found in neither of its records, because it completes between the
+/// two reads of a status query, a repeated submission or a cancellation.
 #[tokio::test]
 async fn job_that_completes_during_a_query_is_reported_done() {
     for query in ["poll", "repeat", "cancel"] {
@@ -97,15 +97,15 @@
     }
 }
 
-/// A record that is accepted must fit into a value under the least of both limits.
+/// A record that is accepted must fit into a value under the lower of both limits.
 #[tokio::test]
 async fn submission_larger_than_a_value_is_refused() {
     let small = |text: String| text.replace("value_kb = 8.0", "value_kb = 2.0");
     let (client, _service) = node_with_settings(small).await;
     let submit = |body| client.submit(body);
     let mut all = Vec::new();
-    for n in 0..64 {
-        let id = format!("run-{n:020}");
+    for number in 0..64 {
+        let id = format!("run-{number:020}");
         assert_eq!(submit(submission(with_field("uid", id.clone()))).await, 201);
         all.push(id);
     }
--- a/tests/http/workers.rs
+++ b/tests/http/workers.rs
@@ -33,7 +33,7 @@
         .await
         .expect("leads in time");
     assert!(response.fencing_token >= 1 && response.commands.is_empty());
-    // A worker that has seen a later leader is sent away.
+    // A worker that knows a later leader is redirected.
     let seen = FencingToken(response.fencing_token);
     assert_eq!(seen, FencingToken::first_of_term(seen.term()));
     heartbeat.fencing_token = FencingToken::first_of_term(seen.term() + 1).0;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -21,8 +21,8 @@
 use umbervale::node::Node;
 use umbervale::settings::Settings;
 
-/// Long enough for a busy machine; nothing waits for it when all is well.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// A timeout that is long enough for a busy machine.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A map with text keys.
 pub(crate) fn map(fields: Vec<(&str, Value)>) -> Value {
@@ -34,6 +34,7 @@
 async fn serve(router: Router) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
+    // It ends with the runtime of the test.
     tokio::spawn(async move { axum::serve(listener, router).await });
     addr
 }
@@ -94,17 +95,18 @@
     let node = node.await.unwrap();
     let http = HttpClient::default();
     let front = node.front().unwrap();
+    // It ends with the runtime of the test, which fails if the node does not answer.
     tokio::spawn(node.serve());
     let ready = async {
         loop {
-            let answer = http.call(Method::GET, front, "/ready", None, PATIENCE);
+            let answer = http.call(Method::GET, front, "/ready", None, TIMEOUT);
             if answer.await.unwrap().status == 200 {
                 return;
             }
             tokio::task::yield_now().await;
         }
     };
-    let ready = tokio::time::timeout(PATIENCE, ready).await;
+    let ready = tokio::time::timeout(TIMEOUT, ready).await;
     ready.expect("ready in time");
     ReadyNode {
         http,
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -85,7 +85,7 @@
         self.note_change(event);
     }
 
-    /// Has watches told of a change of the present revision.
+    /// Adds a change of the present revision for watches.
     pub(crate) fn note_change(&mut self, event: wire::WatchEvent) {
         self.changes.push_back((self.revision, event));
         if self.changes.len() > CHANGES_KEPT {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A lease of its own.
+    /// Grants a new lease.
     pub(crate) fn new_lease(&mut self) -> wire::LeaseGranted {
         self.leases += 1;
         wire::LeaseGranted { lease: self.leases }
--- a/tests/support/state_service.rs
+++ b/tests/support/state_service.rs
@@ -20,32 +20,32 @@
 pub(crate) struct StateService {
     pub(crate) records: Mutex<Records>,
     changed: Notify,
-    /// Reads of this job's records are refused.
+    /// The service refuses to read the records of this job.
     pub(crate) refused_job: Mutex<Option<&'static str>>,
-    /// Changes are not told of, as to a node whose watch lags.
+    /// Watches see no changes, as with a node whose watch lags.
     pub(crate) silent: AtomicBool,
     /// Reads of single keys and commits are refused.
     pub(crate) down: AtomicBool,
-    /// Reads of single keys are not answered.
+    /// Reads of single keys get no reply.
     pub(crate) stalled: AtomicBool,
-    /// The leader writes a job's end just before its live record is read.
+    /// The leader writes a job's final record just before its live record is read.
     pub(crate) ends: AtomicBool,
 }
 
 type Shared = State<Arc<StateService>>;
 
 impl StateService {
-    /// Puts a record there that another node wrote, of which no change tells.
-    pub(crate) fn put_unheard(&self, key: &str, value: Value) {
+    /// Writes a record as another node does, without a change for watches.
+    pub(crate) fn put_without_change(&self, key: &str, value: Value) {
         let mut records = self.records.lock().unwrap();
         records.revision += 1;
         let version = records.revision;
         records.values.insert(key.into(), (value, version));
     }
 
-    /// The same, and the changes tell of it.
-    pub(crate) fn put_heard(&self, key: &str, value: Value) {
-        self.put_unheard(key, value.clone());
+    /// Writes a record as another node does, with a change for watches.
+    pub(crate) fn put_with_change(&self, key: &str, value: Value) {
+        self.put_without_change(key, value.clone());
         let mut records = self.records.lock().unwrap();
         let version = records.revision;
         let key = key.to_owned();
@@ -63,7 +63,7 @@
         records.values.get(key).map(|(value, _)| value.clone())
     }
 
-    /// Writes the end of the job whose live record this is, if it has one.
+    /// Replaces the live record of that key, if there is one, by the job's final record.
     fn end_job_under(&self, key: &str) {
         let mut records = self.records.lock().unwrap();
         if let Some(id) = key.strip_prefix("live/job/")
--- a/tests/wire_format/frames.rs
+++ b/tests/wire_format/frames.rs
@@ -54,9 +54,9 @@
         ("nothing", Message::Nothing),
         ("cancelled", Message::Cancelled { job: job() }),
     ] {
-        let pinned = table.take_bytes(name);
-        assert_eq!(written(&message).await, pinned, "{name}");
-        assert_eq!(read(&pinned).await, message, "{name}");
+        let expected = table.take_bytes(name);
+        assert_eq!(written(&message).await, expected, "{name}");
+        assert_eq!(read(&expected).await, message, "{name}");
     }
     table.finish();
 }
--- a/tests/wire_format/main.rs
+++ b/tests/wire_format/main.rs
@@ -1,4 +1,4 @@
-//! Pins the bytes of every message on the wire and of every frame between nodes.
+//! Compares the bytes of every message on the wire and of every frame between nodes with fixtures.
 //!
 //! The fixtures never change: a difference means that another version, a user, a worker, the cloud or
 //! the state service would be misunderstood.
--- a/tests/wire_format/messages/malformed.rs
+++ b/tests/wire_format/messages/malformed.rs
@@ -9,7 +9,7 @@
 use umbervale::wire::worker::{ExitReason, Heartbeat, Task, TaskState};
 use umbervale::wire::{decode, encode};
 
-/// What stands in place of a field in a malformed body.
+/// Values that replace a field in a malformed body.
 fn malformed_values() -> Vec<(&'static str, Value)> {
     vec![
         ("null", Value::Nil),
@@ -23,7 +23,7 @@
     ]
 }
 
-/// What the sender of a body is told of it.
+/// The error that the sender of a body gets.
 fn outcome_of<T: DeserializeOwned>(body: &Value) -> String {
     match decode::<T>(&encode(body)) {
         Ok(_) => "accepted".into(),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Takes out and spoils each field of a message, one after the other.
+/// Removes and damages each field of a message, one after the other, and compares the errors.
 fn assert_damaged_fields<T: DeserializeOwned>(table: &mut FixtureTable, group: &str, good: &[u8]) {
     let good: Value = rmp_serde::from_slice(good).unwrap();
     let fields = good.as_map().unwrap();
--- a/tests/wire_format/messages/workers.rs
+++ b/tests/wire_format/messages/workers.rs
@@ -124,10 +124,10 @@
     assert_round_trip(&mut table, "answer", &answer(41, all()));
     assert_round_trip(&mut table, "answer_empty", &answer(u64::MAX, Vec::new()));
     assert_round_trip(&mut table, "answer_default", &HeartbeatResponse::default());
-    let elsewhere = LeaderRedirect {
+    let redirect = LeaderRedirect {
         leader: Some("drone-2".into()),
     };
-    assert_round_trip(&mut table, "elsewhere", &elsewhere);
+    assert_round_trip(&mut table, "elsewhere", &redirect);
     assert_round_trip(&mut table, "elsewhere_unknown", &LeaderRedirect::default());
     assert_decodes(&mut table, "elsewhere_null", &LeaderRedirect::default());
     let direct = |commands| DirectCommands {
