--- a/tests/bad_input/messages.rs
+++ b/tests/bad_input/messages.rs
@@ -21,7 +21,7 @@
     Value::Array(elements)
 }
 
-pub fn submission() -> Value {
+pub(crate) fn submission() -> Value {
     map(vec![
         ("uid", "run-000412".into()),
         ("docket", "train".into()),
@@ -47,7 +47,7 @@
     ])
 }
 
-pub fn report() -> Value {
+pub(crate) fn heartbeat() -> Value {
     let task = map(vec![
         ("piece", "run-000412/0".into()),
         ("try", 1.into()),
@@ -83,8 +83,8 @@
 }
 
 #[test]
-fn reports() {
-    assert_outcomes::<worker::Heartbeat>("report.txt", &report());
+fn heartbeats() {
+    assert_outcomes::<worker::Heartbeat>("report.txt", &heartbeat());
 }
 
 #[test]
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn items_of_a_form_that_is_expected() {
+fn typed_items() {
     let item = map(vec![
         ("path", "live/job/run-000412".into()),
         ("data", map(vec![("ledger_rev", 3.into())])),
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn names_of_machines() {
+fn machine_names() {
     let machines = map(vec![("hosts", list(vec!["host-000001".into()]))]);
     assert_outcomes::<cloud::MachineNames>("machines.txt", &machines);
 }
--- a/tests/wire_format/frames.rs
+++ b/tests/wire_format/frames.rs
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn frames_are_read_and_written_as_pinned() {
+async fn peer_frames_match_the_fixtures() {
     let job = || "run-000412".to_owned();
     let counts = |done, running| Message::Counts { done, running };
     let mut table = FixtureTable::open("frames/frames.txt");
@@ -54,9 +54,9 @@
         ("nothing", Message::Nothing),
         ("cancelled", Message::Cancelled { job: job() }),
     ] {
-        let pinned = table.take_bytes(name);
-        assert_eq!(written(&message).await, pinned, "{name}");
-        assert_eq!(read(&pinned).await, message, "{name}");
+        let expected = table.take_bytes(name);
+        assert_eq!(written(&message).await, expected, "{name}");
+        assert_eq!(read(&expected).await, message, "{name}");
     }
     table.finish();
 }
