--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -3,7 +3,7 @@
 use super::Api;
 use super::final_states::FinalState;
 use crate::engine::{self, FinalRecord, JobRecord};
-use crate::store::{CallPriority, Record, StoreCall, StoreError, StoreReply};
+use crate::store::{CallPriority, MalformedCause, Record, StoreCall, StoreError, StoreReply};
 
 /// A job as the state service has it.
 pub(super) enum StoredJob {
@@ -65,9 +65,10 @@
         let key = engine::final_key(id);
         match self.store.get_record::<FinalRecord>(key).await? {
             None => Ok(StoredJob::Unknown),
-            Some(Record::Unreadable { .. }) => Err(StoreError::Malformed(format!(
-                "final record of {id} can't be read"
-            ))),
+            Some(Record::Unreadable { .. }) => {
+                let job = id.to_owned();
+                Err(MalformedCause::UnreadableFinalRecord { job }.into())
+            }
             Some(Record::Read { record, .. }) => {
                 let final_state = FinalState::from(record);
                 self.final_states.insert(id, final_state);
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -7,7 +7,7 @@
 use crate::engine::{Command, Reply};
 use crate::model::JobId;
 use crate::peer::Message;
-use crate::store::StoreError;
+use crate::store::{NotExecutedCause, StoreError};
 use crate::wire::user::{JobState, JobStatus};
 use axum::http::StatusCode;
 
@@ -100,9 +100,9 @@
             Some(Reply::BlockedJobState(None)) => match self.look_up(id).await? {
                 StoredJob::Active { record, .. } if !record.waits() => Ok(JobState::Queued),
                 StoredJob::Final(final_state) => Ok(final_state.state),
-                _ => Err(StoreError::NotExecuted("changing".into())),
+                _ => Err(NotExecutedCause::RecordMoved.into()),
             },
-            _ => Err(StoreError::NotExecuted("changes can't be read".into())),
+            _ => Err(NotExecutedCause::ChangesUnreadable.into()),
         }
     }
 
--- a/src/engine/autoscaling/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -82,6 +82,24 @@
         !self.demand.is_empty()
     }
 
+    /// The candidates with unplaced tasks, in the order of service, with these tasks as the planning
+    /// of rentals takes them.
+    fn unplaced_jobs<'a>(
+        &'a self,
+        candidates: &'a [Candidate<'a>],
+    ) -> impl Iterator<Item = (&'a Candidate<'a>, WaitingJob<'a>)> {
+        self.demand.iter().filter_map(|unplaced| {
+            let mut candidates = candidates.iter();
+            let candidate = candidates.find(|candidate| *candidate.id == unplaced.job)?;
+            let waiting = WaitingJob {
+                job: candidate.job,
+                tasks: unplaced.tasks,
+                placed_by_zone: candidate.placed_by_zone.clone(),
+            };
+            Some((candidate, waiting))
+        })
+    }
+
     /// Sets the tasks that a scheduling pass has left unplaced.
     fn set_demand(&mut self, unplaced: Vec<Unplaced>, now: Timestamp) {
         // The first tasks that wait don't wait for the next pass as well.
@@ -161,12 +179,3 @@
         machine.accepts_tasks() || self.is_booting(machine)
     }
 }
-
-/// A candidate's tasks for which nothing is available, as the planning of rentals takes them.
-fn waiting_job<'a>(candidate: &Candidate<'a>, tasks: u32) -> WaitingJob<'a> {
-    WaitingJob {
-        job: candidate.job,
-        tasks,
-        placed_by_zone: candidate.placed_by_zone.clone(),
-    }
-}
--- a/src/engine/autoscaling/preemption.rs
+++ b/src/engine/autoscaling/preemption.rs
@@ -1,6 +1,5 @@
 //! Preemption: stopping running tasks for waiting jobs that the cloud has no machines for.
 
-use super::waiting_job;
 use crate::autoscaler;
 use crate::constants;
 use crate::engine::Engine;
@@ -45,24 +44,16 @@
             |id| within_guarantee.contains(id),
             now,
         );
-        for unplaced in &leader.autoscaling.demand {
-            let mut candidates = candidates.iter();
-            let Some(candidate) = candidates.find(|candidate| *candidate.id == unplaced.job) else {
-                continue;
-            };
+        for (candidate, waiting) in leader.autoscaling.unplaced_jobs(candidates) {
             // What will soon be available is first come, first served: it is allocated before the
             // jobs after this one.
-            let waiting = waiting_job(candidate, unplaced.tasks);
             let has_resources = autoscaler::try_allocate(&waiting, &mut expected);
             if has_resources || !self.may_preempt_for(candidate) {
                 continue;
             }
             let up = up.get_or_insert_with(|| machines.with_available(any, Machine::accepts_tasks));
-            let tasks = match candidate.job.is_gang() {
-                true => unplaced.tasks,
-                false => 1,
-            };
             let job = candidate.id.clone();
+            let tasks = tasks_to_preempt_for(candidate, waiting.tasks);
             let victims = preemption::choose_victims(candidate, tasks, up, &running);
             if !victims.is_empty() {
                 plan.preemption = Some(Preemption { job, victims });
@@ -113,3 +104,11 @@
         }
     }
 }
+
+/// For how many of a job's unplaced tasks others are stopped at once: a gang needs all of them.
+fn tasks_to_preempt_for(candidate: &Candidate<'_>, unplaced_tasks: u32) -> u32 {
+    match candidate.job.is_gang() {
+        true => unplaced_tasks,
+        false => 1,
+    }
+}
--- a/src/engine/autoscaling/scale_out.rs
+++ b/src/engine/autoscaling/scale_out.rs
@@ -1,6 +1,6 @@
 //! Scaling out: how many machines of which offers are rented.
 
-use super::{MachineOffer, waiting_job};
+use super::MachineOffer;
 use crate::autoscaler::{self, ScalingPlan, WaitingJob};
 use crate::cloud::{CloudCall, CloudError, CloudReply};
 use crate::constants;
@@ -68,12 +68,8 @@
             return ScalingPlan::default();
         };
         let expected = self.expected_jobs();
-        let demand = leader.autoscaling.demand.iter();
-        let waiting = demand.filter_map(|unplaced| {
-            let mut candidates = candidates.iter();
-            let candidate = candidates.find(|candidate| *candidate.id == unplaced.job)?;
-            Some(waiting_job(candidate, unplaced.tasks))
-        });
+        let unplaced = leader.autoscaling.unplaced_jobs(candidates);
+        let waiting = unplaced.map(|(_, waiting)| waiting);
         let expected = expected.iter().map(|job| WaitingJob {
             job,
             tasks: job.spec.tasks,
--- a/src/engine/election.rs
+++ b/src/engine/election.rs
@@ -6,7 +6,7 @@
 use super::messages::PendingCall;
 use super::records::{self, LEADER_KEY, LeaderRecord, TERM_KEY, TermRecord};
 use crate::constants;
-use crate::model::{Timestamp, whole_millis};
+use crate::model::Timestamp;
 use crate::peer::Announcement;
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::store::{Item, Transaction};
@@ -85,7 +85,7 @@
         if vacant && informed && self.leadership.is_campaign_due(now) {
             self.leadership.begin_campaign();
             let call = StoreCall::GrantLease {
-                ttl_ms: whole_millis(constants::LEASE_TTL),
+                ttl: constants::LEASE_TTL,
             };
             self.outbox
                 .call_store(PendingCall::GrantCampaignLease { sent_at: now }, call);
--- a/src/engine/live_view.rs
+++ b/src/engine/live_view.rs
@@ -9,7 +9,7 @@
 use super::records::{JOB_PREFIX, LIVE_PREFIX};
 use super::retry::Retry;
 use crate::constants;
-use crate::model::{JobId, Timestamp, whole_millis};
+use crate::model::{JobId, Timestamp};
 use crate::store::StoreCall;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -163,7 +163,7 @@
     StoreCall::Watch {
         prefix: LIVE_PREFIX.into(),
         after,
-        wait_ms: whole_millis(wait),
+        wait,
     }
 }
 
--- a/src/engine/live_view/tests.rs
+++ b/src/engine/live_view/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::engine::test_support::instant;
 
-fn revision_watched(call: Option<(PendingCall, StoreCall)>) -> Option<(u64, u64)> {
+fn revision_watched(call: Option<(PendingCall, StoreCall)>) -> Option<(u64, Duration)> {
     match call {
-        Some((_, StoreCall::Watch { after, wait_ms, .. })) => Some((after, wait_ms)),
+        Some((_, StoreCall::Watch { after, wait, .. })) => Some((after, wait)),
         _ => None,
     }
 }
@@ -19,10 +19,13 @@
     live.finish_listing(7, instant(5));
     assert!(live.is_listed() && live.knows_revision(7) && !live.knows_revision(8));
     // Nothing fresh is known yet: the first response counts.
-    assert_eq!(revision_watched(live.next_call(instant(5))), Some((7, 0)));
+    assert_eq!(
+        revision_watched(live.next_call(instant(5))),
+        Some((7, Duration::ZERO))
+    );
     live.note_contact(instant(5));
     live.on_watch_answered(instant(6));
-    let wait = whole_millis(constants::WATCH_TIMEOUT);
+    let wait = constants::WATCH_TIMEOUT;
     assert_eq!(
         revision_watched(live.next_call(instant(6))),
         Some((7, wait))
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -16,10 +16,11 @@
 mod keys;
 
 pub use json_size::json_size;
-pub use keys::{
-    JOB_PREFIX, LEADER_KEY, LIVE_PREFIX, PROGRESS_PREFIX, ROUND_PREFIX, TERM_KEY, final_key,
-    job_key, parse_progress_key, parse_round_key, progress_key, round_key,
+pub(super) use keys::{
+    JOB_PREFIX, LEADER_KEY, LIVE_PREFIX, PROGRESS_PREFIX, ROUND_PREFIX, TERM_KEY,
+    parse_progress_key, parse_round_key, progress_key, round_key,
 };
+pub use keys::{final_key, job_key};
 
 use crate::model::UnixTime;
 use crate::wire;
@@ -141,7 +142,7 @@
 
 /// The leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeaderRecord {
+pub(super) struct LeaderRecord {
     /// Name of its node.
     pub node: String,
     /// Its term.
@@ -150,14 +151,14 @@
 
 /// The highest term ever taken.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TermRecord {
+pub(super) struct TermRecord {
     /// The term.
     pub term: u64,
 }
 
 /// The starts of one round, or a part of them. All have the round's number as their attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RoundRecord {
+pub(super) struct RoundRecord {
     /// The starts, by job and machine.
     pub starts: Vec<StartRecord>,
 }
@@ -168,7 +169,7 @@
     from = "(String, String, Vec<u32>)",
     into = "(String, String, Vec<u32>)"
 )]
-pub struct StartRecord {
+pub(super) struct StartRecord {
     /// Id of the job.
     pub job: String,
     /// Name of the machine.
@@ -195,14 +196,14 @@
 
 /// Completed tasks of a part of an array.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ProgressRecord {
+pub(super) struct ProgressRecord {
     /// Bitmap of the part as hexadecimal text, see [`crate::model::TaskSet::part_text`].
     pub done: String,
 }
 
 /// Adds a job's end to a transaction: its final record comes and its live one goes, if that still
 /// has this version.
-pub fn finish_job(
+pub(super) fn finish_job(
     transaction: Transaction,
     id: &str,
     version: u64,
@@ -218,12 +219,12 @@
 }
 
 /// A record as a value of the state service.
-pub fn to_value<T: Serialize>(record: &T) -> Value {
+pub(super) fn to_value<T: Serialize>(record: &T) -> Value {
     rmp_serde::from_slice(&wire::encode(record)).unwrap_or(Value::Nil)
 }
 
 /// Reads a value as a record; `None` if it has another form.
-pub fn from_value<T: DeserializeOwned>(value: Value) -> Option<T> {
+pub(super) fn from_value<T: DeserializeOwned>(value: Value) -> Option<T> {
     // Through bytes, as maps: the only form in which records are written.
     wire::decode(&wire::encode(&value)).ok()
 }
--- a/src/engine/records/fixture_tests.rs
+++ b/src/engine/records/fixture_tests.rs
@@ -128,6 +128,14 @@
     table.finish();
 }
 
+fn starts(job: &str, machine: &str, tasks: Vec<u32>) -> StartRecord {
+    StartRecord {
+        job: job.into(),
+        machine: machine.into(),
+        tasks,
+    }
+}
+
 #[test]
 fn other_records_are_read_and_written_as_pinned() {
     let mut table = FixtureTable::open("records/others.txt");
@@ -150,11 +158,6 @@
     };
     both_ways(&mut table, "lead", &lead);
     both_ways(&mut table, "term", &TermRecord { term: u64::MAX });
-    let starts = |job: &str, machine: &str, tasks| StartRecord {
-        job: job.into(),
-        machine: machine.into(),
-        tasks,
-    };
     let round = RoundRecord {
         starts: vec![
             starts("run-000412", "host-000231", vec![0, 1, 99_999]),
--- a/src/engine/records/tests.rs
+++ b/src/engine/records/tests.rs
@@ -90,21 +90,26 @@
         assert_eq!(stored::<FinalRecord>(bytes).as_ref(), Some(&last));
         both(bytes, final_value(&last));
     }
-    let lead = LeaderRecord {
+}
+
+/// The leader's records and a round's, likewise.
+#[test]
+fn leaders_records_of_the_production_version_are_read_and_written() {
+    let leader = LeaderRecord {
         node: "n1".into(),
         term: 7,
     };
     assert_eq!(
         stored::<LeaderRecord>(production!("lead")).as_ref(),
-        Some(&lead)
+        Some(&leader)
     );
-    both(production!("lead"), to_value(&lead));
+    assert_eq!(wire::encode(&to_value(&leader)), production!("lead"));
     let term = TermRecord { term: 7 };
     assert_eq!(
         stored::<TermRecord>(production!("term")).as_ref(),
         Some(&term)
     );
-    both(production!("term"), to_value(&term));
+    assert_eq!(wire::encode(&to_value(&term)), production!("term"));
     let round = RoundRecord {
         starts: vec![StartRecord {
             job: "run-7".into(),
@@ -116,7 +121,7 @@
         stored::<RoundRecord>(production!("round")).as_ref(),
         Some(&round)
     );
-    both(production!("round"), to_value(&round));
+    assert_eq!(wire::encode(&to_value(&round)), production!("round"));
 }
 
 /// A large array's progress, in the larger chunks of the production version; a small one's record is
@@ -160,13 +165,13 @@
     let ready = waiting
         .clone()
         .ready(UnixTime::from_millis(1_700_000_000_500));
-    assert!(as_production(&ready).is_some_and(|r| !r.cancelled));
+    assert!(as_production(&ready).is_some_and(|record| !record.cancelled));
     assert_eq!(
         read_job(job_value(&ready)).unwrap().ready_at,
         ready.ready_at
     );
     let cancelled = waiting.cancelled();
-    assert!(as_production(&cancelled).is_some_and(|r| r.cancelled));
+    assert!(as_production(&cancelled).is_some_and(|record| record.cancelled));
 }
 
 /// A job of the first version with pipelines, submitted two seconds after its cluster began.
--- a/src/engine/tests/replay/mirror.rs
+++ b/src/engine/tests/replay/mirror.rs
@@ -4,7 +4,7 @@
 use super::script::Body;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
 use crate::engine::{Command, Effect, Engine, EngineStatus, Reply};
-use crate::model::UnixTime;
+use crate::model::{UnixTime, whole_millis};
 use crate::peer::Announcement;
 use crate::store::{NotExecutedCause, StoreCall, StoreError, StoreReply};
 use crate::wire::{decode, encode};
@@ -25,7 +25,7 @@
 }
 
 /// Lets the engine take a step of the script.
-pub fn step(engine: &mut Engine, step: &script::Step) -> script::Outcome {
+pub(super) fn step(engine: &mut Engine, step: &script::Step) -> script::Outcome {
     let commands: Vec<Command> = step.commands.iter().map(command_of).collect();
     let effects = engine.step(
         Duration::from_millis(step.now),
@@ -36,22 +36,22 @@
 }
 
 /// What a step has produced.
-pub fn outcome(effects: &[Effect], view: &EngineStatus) -> script::Outcome {
+pub(super) fn outcome(effects: &[Effect], status: &EngineStatus) -> script::Outcome {
     script::Outcome {
         effects: effects.iter().map(record_effect).collect(),
         status: script::Status {
-            ready: view.ready,
-            leading: view.leading,
-            term: view.term,
-            leader: view.leader.clone(),
-            types_known: view.machine_types.is_some(),
-            store_ok: view.store_reachable,
+            ready: status.ready,
+            leading: status.leading,
+            term: status.term,
+            leader: status.leader.clone(),
+            types_known: status.machine_types.is_some(),
+            store_ok: status.store_reachable,
         },
     }
 }
 
 /// A command as it is kept in a script.
-pub fn record_command(command: &Command) -> script::Command {
+pub(super) fn record_command(command: &Command) -> script::Command {
     match command {
         Command::Heartbeat { heartbeat, reply } => script::Command::Heartbeat {
             body: body(heartbeat),
@@ -137,7 +137,7 @@
         Err(StoreError::Compacted) => Answer::TooOld,
         Err(StoreError::NotExecuted(reason)) => Answer::Refused(reason.to_string()),
         Err(StoreError::Unknown(reason)) => Answer::Unknown(reason.to_string()),
-        Err(StoreError::Malformed(reason)) => Answer::Bad(reason.clone()),
+        Err(StoreError::Malformed(reason)) => Answer::Bad(reason.to_string()),
     }
 }
 
@@ -155,9 +155,9 @@
         Answer::Conflict(keys) => Err(StoreError::Conflict(keys.clone())),
         Answer::NoLease => Err(StoreError::NoLease),
         Answer::TooOld => Err(StoreError::Compacted),
-        Answer::Refused(reason) => Err(NotExecutedCause::Abandoned(reason.clone().into()).into()),
+        Answer::Refused(reason) => Err(NotExecutedCause::from(reason.as_str()).into()),
         Answer::Unknown(reason) => Err(StoreError::Unknown(reason.as_str().into())),
-        Answer::Bad(reason) => Err(StoreError::Malformed(reason.clone())),
+        Answer::Bad(reason) => Err(StoreError::Malformed(reason.as_str().into())),
     }
 }
 
@@ -234,17 +234,19 @@
             after: after.clone(),
         },
         StoreCall::Commit(txn) => Request::Commit(body(txn)),
-        StoreCall::GrantLease { ttl_ms } => Request::GrantLease { ttl_ms: *ttl_ms },
+        StoreCall::GrantLease { ttl } => Request::GrantLease {
+            ttl_ms: whole_millis(*ttl),
+        },
         StoreCall::KeepAlive { lease } => Request::RenewLease { lease: *lease },
         StoreCall::RevokeLease { lease } => Request::EndLease { lease: *lease },
         StoreCall::Watch {
             prefix,
             after,
-            wait_ms,
+            wait,
         } => Request::Watch {
             prefix: prefix.clone(),
             after: *after,
-            wait_ms: *wait_ms,
+            wait_ms: whole_millis(*wait),
         },
     }
 }
--- a/src/engine/tests/simulated_cluster/effects.rs
+++ b/src/engine/tests/simulated_cluster/effects.rs
@@ -7,6 +7,7 @@
 use super::{Millis, PendingHeartbeat, SimulatedCluster};
 use crate::cloud::CloudCall;
 use crate::engine::{Command, Effect, Reply, ReplyId};
+use crate::model::whole_millis;
 use crate::store::StoreCall;
 
 /// The time of a call to the cloud without jitter.
@@ -54,7 +55,7 @@
         if let StoreCall::Watch {
             prefix,
             after,
-            wait_ms,
+            wait,
         } = call
         {
             let jitter = self.next_jitter();
@@ -62,7 +63,7 @@
                 caller,
                 prefix,
                 after,
-                until: self.now + jitter + wait_ms,
+                until: self.now + jitter + whole_millis(wait),
             };
             return match jitter {
                 0 => self.handle(Event::Watch(watch)),
--- a/src/engine/tests/simulated_cluster/state_service/mod.rs
+++ b/src/engine/tests/simulated_cluster/state_service/mod.rs
@@ -11,6 +11,7 @@
 use super::{Millis, SimulatedCluster};
 use crate::constants;
 use crate::engine::{Command, records};
+use crate::model::whole_millis;
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::store::{Item, Listing, Transaction, WatchEvent};
 use leases::Lease;
@@ -169,8 +170,8 @@
                 Ok(StoreReply::Listing(listing))
             }
             StoreCall::Commit(transaction) => self.commit_with_lost_reply(transaction),
-            StoreCall::GrantLease { ttl_ms } => {
-                let lease = self.store.grant_lease(*ttl_ms, self.now);
+            StoreCall::GrantLease { ttl } => {
+                let lease = self.store.grant_lease(whole_millis(*ttl), self.now);
                 Ok(StoreReply::LeaseGranted { lease })
             }
             StoreCall::KeepAlive { lease } => self.store.keep_alive(*lease, self.now),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,9 @@
 //! umbervale: a cluster scheduler. Three controller processes accept users' jobs, rent machines
-//! from a cloud, place tasks on workers, and keep all state in a small key-value service.
+//! from a cloud, place tasks on workers, and keep all durable state in a consensus-backed key-value
+//! store, the state service.
 //!
-//! The design, and the argument for its safety, are in `docs/design.md`.
+//! `docs/architecture.md` says who owns which state, and follows a submission, a cancellation and a
+//! failover through the code. The design, and the argument for its safety, are in `docs/design.md`.
 
 pub mod api;
 pub mod autoscaler;
--- a/src/model/dependencies/tests.rs
+++ b/src/model/dependencies/tests.rs
@@ -14,19 +14,26 @@
     jobs
 }
 
-fn stand(
+fn evaluate_chain(
     jobs: &BTreeMap<JobId, Vec<JobId>>,
     first: UpstreamState,
 ) -> BTreeMap<JobId, DependencyState> {
-    let waiting: DependencyGraph<'_> = jobs.iter().map(|(id, a)| (id, a.as_slice())).collect();
-    let order = evaluate(&waiting, |_| first);
-    order.into_iter().map(|(id, s)| (id.clone(), s)).collect()
+    let graph: DependencyGraph<'_> = jobs.iter().map(|(id, on)| (id, on.as_slice())).collect();
+    let order = evaluate(&graph, |_| first);
+    order
+        .into_iter()
+        .map(|(id, state)| (id.clone(), state))
+        .collect()
 }
 
 #[test]
-fn a_cancellation_goes_forward_through_any_number_of_steps() {
+fn the_state_of_the_first_dependency_decides_all_that_follow() {
     let jobs = chain();
-    let all = |awaited| stand(&jobs, awaited).into_values().collect::<Vec<_>>();
+    let all = |first| {
+        evaluate_chain(&jobs, first)
+            .into_values()
+            .collect::<Vec<_>>()
+    };
     assert_eq!(
         all(UpstreamState::Cancelled),
         vec![DependencyState::Cancelled; 100]
@@ -39,29 +46,32 @@
         all(UpstreamState::Open),
         vec![DependencyState::Waiting; 100]
     );
-    let done = stand(&jobs, UpstreamState::Done);
+    let done = evaluate_chain(&jobs, UpstreamState::Done);
     let ready = |n: usize| done[&id(n)] == DependencyState::Satisfied;
     assert_eq!((1..=100).filter(|n| ready(*n)).collect::<Vec<_>>(), [1]);
 }
 
 /// What is not known must not count as done, nor hide that something else is cancelled.
 #[test]
-fn the_worst_of_what_a_job_awaits_decides() {
+fn the_worst_state_of_a_jobs_dependencies_decides() {
     let jobs = BTreeMap::from([(id(9), (0..3).map(id).collect())]);
-    let stands = |states: [UpstreamState; 3]| {
-        let waiting: DependencyGraph<'_> = jobs
+    let state_with = |states: [UpstreamState; 3]| {
+        let graph: DependencyGraph<'_> = jobs
             .iter()
-            .map(|(id, a): (_, &Vec<_>)| (id, a.as_slice()))
+            .map(|(id, on): (_, &Vec<_>)| (id, on.as_slice()))
             .collect();
-        let of = |a: &JobId| states[(0..3).find(|n| id(*n) == *a).unwrap()];
-        evaluate(&waiting, of)[0].1
+        let state_of = |upstream: &JobId| {
+            let position = (0..3).find(|n| id(*n) == *upstream);
+            states[position.unwrap()]
+        };
+        evaluate(&graph, state_of)[0].1
     };
     use UpstreamState::*;
-    assert_eq!(stands([Done, Done, Done]), DependencyState::Satisfied);
-    assert_eq!(stands([Done, Open, Done]), DependencyState::Waiting);
-    assert_eq!(stands([Open, Unknown, Done]), DependencyState::Unknown);
+    assert_eq!(state_with([Done, Done, Done]), DependencyState::Satisfied);
+    assert_eq!(state_with([Done, Open, Done]), DependencyState::Waiting);
+    assert_eq!(state_with([Open, Unknown, Done]), DependencyState::Unknown);
     assert_eq!(
-        stands([Unknown, Cancelled, Open]),
+        state_with([Unknown, Cancelled, Open]),
         DependencyState::Cancelled
     );
 }
@@ -69,7 +79,7 @@
 #[test]
 fn the_last_jobs_urgency_is_inherited_by_all_before_it() {
     let jobs = chain();
-    let graph: DependencyGraph<'_> = jobs.iter().map(|(id, a)| (id, a.as_slice())).collect();
+    let graph: DependencyGraph<'_> = jobs.iter().map(|(id, on)| (id, on.as_slice())).collect();
     let order = evaluate(&graph, |_| UpstreamState::Open);
     let urgent = InheritedUrgency {
         priority: Priority::High,
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -1,121 +1,12 @@
 //! A job, its tasks, and where they are.
 
-use super::{HeartbeatSequence, MachineId, Resources, TaskSet, Timestamp, UnixTime};
-use crate::constants::{DEFAULT_DEADLINE, STARVATION_AFTER, STARVATION_MAX_FAILURES};
-use crate::wire::user::{self, JobKind, JobSubmission, Priority};
+use super::{
+    JobSpec, MachineId, Placement, PlacementStage, Resources, TaskSet, Timestamp, UnixTime,
+};
+use crate::constants::{STARVATION_AFTER, STARVATION_MAX_FAILURES};
+use crate::wire::user::{JobKind, Priority};
 use crate::wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
-use std::time::Duration;
-
-/// What a job asks for: its submission in the units of the scheduler.
-#[derive(Debug, Clone, PartialEq)]
-pub struct JobSpec {
-    /// Class of the job; service-level objectives name it.
-    pub class: Arc<str>,
-    /// Team that owns the job.
-    pub team: Arc<str>,
-    /// How the tasks belong together.
-    pub kind: JobKind,
-    /// The priority that its user gave it.
-    pub priority: Priority,
-    /// Number of tasks.
-    pub tasks: u32,
-    /// Resources that each task requests.
-    pub request: Resources,
-    /// Image that the tasks need.
-    pub image: Arc<str>,
-    /// Size of the image, GB.
-    pub image_gb: f64,
-    /// Machine types that the tasks may use; all if absent.
-    pub machine_types: Option<Vec<Arc<str>>>,
-    /// The only zone that the tasks may use; any if absent.
-    pub zone: Option<Arc<str>>,
-    /// Whether all tasks must be in one zone at any time.
-    pub single_zone: bool,
-    /// Whether at most half of the tasks, rounded up, may be in one zone.
-    pub spread_zones: bool,
-    /// Whether the tasks may use spot instances.
-    pub allows_spot: bool,
-    /// The owner's estimate of a task's run time.
-    pub expected_duration: Duration,
-    /// Time from the submission to the deadline, if there is one.
-    pub deadline: Option<Duration>,
-    /// Progress between two checkpoints; zero without checkpoints.
-    pub checkpoint_interval: Duration,
-    /// Time that writing a checkpoint takes, s.
-    pub checkpoint_cost_s: f64,
-}
-
-/// Seconds of a submission as whole milliseconds.
-fn whole_millis_of(seconds: f64) -> Duration {
-    Duration::from_millis((seconds * 1000.0) as u64)
-}
-
-impl From<&JobSubmission> for JobSpec {
-    fn from(job: &JobSubmission) -> Self {
-        let machine_types = job.machine_types.as_ref();
-        JobSpec {
-            class: job.class.as_str().into(),
-            team: job.team.as_str().into(),
-            kind: job.kind,
-            priority: job.priority,
-            tasks: job.tasks.min(user::MAX_TASKS) as u32,
-            request: Resources::demand(job.cpus, job.gpus, job.memory_gb),
-            image: job.image.as_str().into(),
-            image_gb: job.image_gb,
-            machine_types: machine_types
-                .map(|names| names.iter().map(|name| name.as_str().into()).collect()),
-            zone: job.zone.as_deref().map(Into::into),
-            single_zone: job.single_zone,
-            spread_zones: job.spread_zones,
-            allows_spot: job.allows_spot,
-            expected_duration: whole_millis_of(job.expected_duration_s),
-            deadline: job.deadline_s.map(whole_millis_of),
-            checkpoint_interval: whole_millis_of(job.checkpoint_interval_s),
-            checkpoint_cost_s: job.checkpoint_cost_s,
-        }
-    }
-}
-
-impl JobSpec {
-    /// Most tasks that may be in one zone.
-    pub fn max_tasks_per_zone(&self) -> u32 {
-        if self.spread_zones {
-            self.tasks.div_ceil(2)
-        } else {
-            self.tasks
-        }
-    }
-
-    /// Resources of all tasks together.
-    pub fn total_request(&self) -> Resources {
-        self.request.times(u64::from(self.tasks))
-    }
-
-    /// What must fit within the team's limit for the job to be able to run at all.
-    pub fn min_request(&self) -> Resources {
-        match self.kind {
-            JobKind::Array => self.request,
-            JobKind::Gang | JobKind::Service => self.total_request(),
-        }
-    }
-
-    /// The deadline of a job that was submitted then. A job without one stands behind all that are
-    /// due within [`DEFAULT_DEADLINE`].
-    pub fn deadline_at(&self, submitted_at: UnixTime) -> UnixTime {
-        submitted_at.saturating_add(self.deadline.unwrap_or(DEFAULT_DEADLINE))
-    }
-
-    /// Grace for a stop, s: enough to write a checkpoint.
-    pub fn checkpoint_grace_s(&self) -> u64 {
-        if self.checkpoint_interval.is_zero() {
-            0
-        } else {
-            self.checkpoint_cost_s.ceil() as u64 + 1
-        }
-    }
-}
 
 /// Where a job stands between its submission and its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -131,47 +22,6 @@
     },
 }
 
-/// Where a placed task stands.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlacementStage {
-    /// Its round is being written.
-    Planned,
-    /// Its round is durable; no heartbeat has named the task yet.
-    Starting {
-        /// The heartbeat whose response last carried the start.
-        sent: Option<HeartbeatSequence>,
-        /// How often the start was sent again.
-        resends: u32,
-    },
-    /// A heartbeat named the task in this state.
-    Reported(TaskState),
-}
-
-/// A request to stop a task, repeated until the task is gone.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StopRequest {
-    /// Seconds in which the task may write a checkpoint.
-    pub grace_s: u64,
-    /// When the task was first told to stop.
-    pub requested_at: Timestamp,
-}
-
-/// A task that is, or may be, on a machine. It counts for every rule until it surely is not.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Placement {
-    /// The machine.
-    pub machine: MachineId,
-    /// Number of the round that started the task.
-    pub attempt: u64,
-    /// Where the start stands.
-    pub stage: PlacementStage,
-    /// When the round was planned, when it became durable, or when a heartbeat first named the
-    /// task, whichever came last.
-    pub stage_since: Timestamp,
-    /// Set while the task is being stopped.
-    pub stop_request: Option<StopRequest>,
-}
-
 /// The highest priority and the earliest deadline of the jobs that depend on a job, directly or
 /// through others: users set both on the last job of a pipeline only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -366,18 +216,3 @@
             .count() as u64
     }
 }
-
-impl Placement {
-    /// Asks the task to stop; an earlier request with a shorter grace stands.
-    pub fn request_stop(&mut self, grace_s: u64, now: Timestamp) {
-        match &mut self.stop_request {
-            Some(stop) => stop.grace_s = stop.grace_s.min(grace_s),
-            None => {
-                self.stop_request = Some(StopRequest {
-                    grace_s,
-                    requested_at: now,
-                });
-            }
-        }
-    }
-}
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -3,12 +3,16 @@
 
 pub mod dependencies;
 mod job;
+mod job_spec;
 mod machine;
+mod placement;
 mod task_set;
 mod time;
 
-pub use job::{InheritedUrgency, Job, JobPhase, JobSpec, Placement, PlacementStage, StopRequest};
+pub use job::{InheritedUrgency, Job, JobPhase};
+pub use job_spec::JobSpec;
 pub use machine::{FencingToken, HeartbeatSequence, Machine, MachinePhase};
+pub use placement::{Placement, PlacementStage, StopRequest};
 pub use task_set::TaskSet;
 pub use time::{Timestamp, UnixTime, whole_millis};
 
@@ -146,10 +150,11 @@
 
     /// The share of `whole` that this is, in thousandths, by the amount with the largest share.
     pub fn permille_of(self, whole: Resources) -> u64 {
-        let part = |a: u64, b: u64| a.saturating_mul(1000).checked_div(b).unwrap_or(0);
-        part(self.cpus, whole.cpus)
-            .max(part(self.gpus, whole.gpus))
-            .max(part(self.memory, whole.memory))
+        let permille =
+            |part: u64, total: u64| part.saturating_mul(1000).checked_div(total).unwrap_or(0);
+        permille(self.cpus, whole.cpus)
+            .max(permille(self.gpus, whole.gpus))
+            .max(permille(self.memory, whole.memory))
     }
 }
 
--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -11,9 +11,9 @@
 
 #[test]
 fn task_names_are_parsed() {
-    let t = TaskId::parse("run-000412/3").unwrap();
-    assert_eq!((&*t.job.0, t.index), ("run-000412", 3));
-    assert_eq!(t.to_string(), "run-000412/3");
+    let task = TaskId::parse("run-000412/3").unwrap();
+    assert_eq!((&*task.job.0, task.index), ("run-000412", 3));
+    assert_eq!(task.to_string(), "run-000412/3");
     assert!(TaskId::parse("run-000412").is_none());
     assert!(TaskId::parse("run-000412/x").is_none());
 }
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -2,7 +2,6 @@
 
 use crate::http::{HttpError, SendError};
 use crate::wire::DecodeError;
-use std::borrow::Cow;
 
 /// Why a call to the state service failed.
 #[derive(Debug, thiserror::Error)]
@@ -22,10 +21,9 @@
     /// No response: the call may have been executed, or may still be.
     #[error("no answer: {0}")]
     Unknown(#[from] UnknownOutcomeCause),
-    /// The service calls the request malformed, or its response does not fit the call. The text
-    /// has what the service sent.
+    /// The service calls the request malformed, or what it sent does not fit the call.
     #[error("bad request or answer: {0}")]
-    Malformed(String),
+    Malformed(#[from] MalformedCause),
 }
 
 /// Why a call was certainly not executed.
@@ -40,14 +38,55 @@
     /// The request was not sent.
     #[error(transparent)]
     NotSent(#[from] SendError),
-    /// The caller did not make the call, for the reason that it states.
+    /// A job's record has moved between two reads.
+    #[error("changing")]
+    RecordMoved,
+    /// The newest changes can't be read.
+    #[error("changes can't be read")]
+    ChangesUnreadable,
+    /// A refusal of a simulated service.
+    #[cfg(test)]
     #[error("{0}")]
-    Abandoned(Cow<'static, str>),
+    Simulated(String),
+}
+
+#[cfg(test)]
+impl From<&str> for NotExecutedCause {
+    fn from(text: &str) -> Self {
+        NotExecutedCause::Simulated(text.to_owned())
+    }
 }
 
-impl From<&'static str> for NotExecutedCause {
-    fn from(reason: &'static str) -> Self {
-        NotExecutedCause::Abandoned(reason.into())
+/// What does not fit in the exchange with the service.
+#[derive(Debug, thiserror::Error)]
+pub enum MalformedCause {
+    /// The response has a status code that no such call gets; its body begins with this text.
+    #[error("status {status}: {text}")]
+    Status {
+        /// The status code.
+        status: u16,
+        /// Beginning of the body.
+        text: String,
+    },
+    /// The response is one of another call.
+    #[error("unexpected answer")]
+    UnexpectedResponse,
+    /// A final record has an unknown form.
+    #[error("final record of {job} can't be read")]
+    UnreadableFinalRecord {
+        /// Id of the job.
+        job: String,
+    },
+    /// A complaint of a simulated service.
+    #[cfg(test)]
+    #[error("{0}")]
+    Simulated(String),
+}
+
+#[cfg(test)]
+impl From<&str> for MalformedCause {
+    fn from(text: &str) -> Self {
+        MalformedCause::Simulated(text.to_owned())
     }
 }
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -8,9 +8,10 @@
 mod response;
 
 pub use client::StoreClient;
-pub use error::{NotExecutedCause, StoreError, UnknownOutcomeCause};
+pub use error::{MalformedCause, NotExecutedCause, StoreError, UnknownOutcomeCause};
 
 use crate::wire::store::{Changes, Item, Listing, Transaction};
+use std::time::Duration;
 
 /// One call to the state service.
 #[derive(Debug, Clone, PartialEq)]
@@ -31,8 +32,8 @@
     Commit(Transaction),
     /// Asks for a new lease.
     GrantLease {
-        /// Time to live, ms.
-        ttl_ms: u64,
+        /// Time to live.
+        ttl: Duration,
     },
     /// Renews a lease.
     KeepAlive {
@@ -50,8 +51,8 @@
         prefix: String,
         /// Revision after which changes count.
         after: u64,
-        /// How long to wait if nothing has changed, ms.
-        wait_ms: u64,
+        /// How long to wait if nothing has changed.
+        wait: Duration,
     },
 }
 
--- a/src/store/request.rs
+++ b/src/store/request.rs
@@ -3,6 +3,7 @@
 use super::StoreCall;
 use crate::constants;
 use crate::http::HttpRequest;
+use crate::model::whole_millis;
 use crate::wire::store::GrantLeaseRequest;
 use std::time::Duration;
 
@@ -12,17 +13,19 @@
         StoreCall::Get { key } => HttpRequest::get(format!("/store/{key}")),
         StoreCall::List { prefix, after } => list(prefix, after.as_deref()),
         StoreCall::Commit(transaction) => HttpRequest::post("/commit", transaction),
-        StoreCall::GrantLease { ttl_ms } => {
-            HttpRequest::post("/holds", &GrantLeaseRequest { ttl_ms: *ttl_ms })
+        StoreCall::GrantLease { ttl } => {
+            let ttl_ms = whole_millis(*ttl);
+            HttpRequest::post("/holds", &GrantLeaseRequest { ttl_ms })
         }
         StoreCall::KeepAlive { lease } => HttpRequest::post_empty(format!("/holds/{lease}/touch")),
         StoreCall::RevokeLease { lease } => HttpRequest::delete(format!("/holds/{lease}")),
         StoreCall::Watch {
             prefix,
             after,
-            wait_ms,
+            wait,
         } => HttpRequest::get(format!(
-            "/changes?under={prefix}&after={after}&block_ms={wait_ms}"
+            "/changes?under={prefix}&after={after}&block_ms={}",
+            whole_millis(*wait)
         )),
     }
 }
@@ -30,9 +33,7 @@
 /// How long the response may take. A watch is answered late on purpose.
 pub(super) fn timeout(call: &StoreCall) -> Duration {
     match call {
-        StoreCall::Watch { wait_ms, .. } => {
-            Duration::from_millis(*wait_ms) + constants::WATCH_SLACK
-        }
+        StoreCall::Watch { wait, .. } => *wait + constants::WATCH_SLACK,
         _ => constants::STORE_TIMEOUT,
     }
 }
--- a/src/store/request/tests.rs
+++ b/src/store/request/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use hyper::Method;
+use std::time::Duration;
 
 fn get() -> StoreCall {
     StoreCall::Get {
@@ -18,14 +19,16 @@
     StoreCall::Watch {
         prefix: "live/".into(),
         after: 7,
-        wait_ms: 1000,
+        wait: Duration::from_secs(1),
     }
 }
 
 #[test]
 fn each_call_has_the_path_of_the_protocol() {
     let commit = StoreCall::Commit(Default::default());
-    let grant_lease = StoreCall::GrantLease { ttl_ms: 4000 };
+    let grant_lease = StoreCall::GrantLease {
+        ttl: Duration::from_secs(4),
+    };
     let keep_alive = StoreCall::KeepAlive { lease: 3 };
     let revoke_lease = StoreCall::RevokeLease { lease: 3 };
     let next_page = "/store?under=live/&after=live/x&page=200";
--- a/src/store/response.rs
+++ b/src/store/response.rs
@@ -1,6 +1,9 @@
 //! Reads the responses of the state service.
 
-use super::{NotExecutedCause, Record, StoreCall, StoreError, StoreReply, UnknownOutcomeCause};
+use super::{
+    MalformedCause, NotExecutedCause, Record, StoreCall, StoreError, StoreReply,
+    UnknownOutcomeCause,
+};
 use crate::http::HttpResponse;
 use crate::wire::decode;
 use crate::wire::store::{Conflict, Item, LeaseGranted, Revision};
@@ -59,7 +62,7 @@
         StoreReply::Item(Some(item)) => Ok(Some(Record::Unreadable {
             version: item.version,
         })),
-        _ => Err(StoreError::Malformed("unexpected answer".into())),
+        _ => Err(MalformedCause::UnexpectedResponse.into()),
     }
 }
 
@@ -71,7 +74,7 @@
     let status = response.status;
     let text = String::from_utf8_lossy(&response.body);
     let text: String = text.chars().take(MAX_SHOWN_CHARACTERS).collect();
-    StoreError::Malformed(format!("status {status}: {text}"))
+    MalformedCause::Status { status, text }.into()
 }
 
 #[cfg(test)]
--- a/src/store/response/tests.rs
+++ b/src/store/response/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::wire::encode;
+use std::time::Duration;
 
 fn response(status: u16, body: Vec<u8>) -> HttpResponse {
     HttpResponse {
@@ -36,7 +37,7 @@
     let watch = StoreCall::Watch {
         prefix: "live/".into(),
         after: 1,
-        wait_ms: 1000,
+        wait: Duration::from_secs(1),
     };
     assert!(matches!(
         read(&keep_alive, &response(404, Vec::new())),
