--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -4,18 +4,16 @@
 use super::final_states::FinalState;
 use super::lookup::StoredJob;
 use super::responses::{HttpResponse, unavailable};
+use crate::constants;
 use crate::engine::{self, Command, FinalRecord, JobRecord};
 use crate::peer::Message;
 use crate::store::{StoreCall, StoreError};
 use crate::wire::store::Transaction;
 
-/// How often a cancellation is attempted when the job's record changes between read and write.
-const MAX_ATTEMPTS: usize = 3;
-
 impl Api {
     /// Cancels a job, and responds with its state; a job that is over stays as it is.
     pub(super) async fn cancel(&self, id: &str) -> Result<HttpResponse, StoreError> {
-        for _ in 0..MAX_ATTEMPTS {
+        for _ in 0..constants::MAX_CANCELLATION_ATTEMPTS {
             let (record, version) = match self.look_up(id).await? {
                 StoredJob::Active { record, version } => (Some(record), version),
                 StoredJob::Unreadable { version } => (None, version),
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -9,9 +9,6 @@
 /// The response to any request.
 pub(super) type HttpResponse = Response<Body>;
 
-/// Most characters of the reason in a refusal.
-const MAX_REASON_CHARS: usize = 200;
-
 /// A response with a message in MessagePack.
 pub(super) fn respond<T: serde::Serialize>(status: StatusCode, message: &T) -> HttpResponse {
     let mut response = Response::new(Body::from(encode(message)));
@@ -21,9 +18,9 @@
     response
 }
 
-/// A refusal; the reason is cut to [`MAX_REASON_CHARS`] characters.
+/// A refusal; the reason is cut to [`constants::MAX_REASON_CHARS`] characters.
 pub(super) fn refuse(status: StatusCode, reason: &str) -> HttpResponse {
-    let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
+    let reason: String = reason.chars().take(constants::MAX_REASON_CHARS).collect();
     respond(status, &user::Refusal { error: &reason })
 }
 
--- a/src/autoscaler/startup.rs
+++ b/src/autoscaler/startup.rs
@@ -1,13 +1,11 @@
 //! The time from renting a machine to a task that runs on it.
 
+use crate::constants;
 use crate::model::{JobSpec, MachineType, MachineTypes};
 use crate::settings::{ObjectiveKind, ServiceLevelObjective};
 use crate::wire::user::JobKind;
 use std::time::Duration;
 
-/// Lower bound on a fetch rate, GB/s; a type with a rate of 0 would divide by 0.
-const MIN_FETCH_GB_PER_S: f64 = 1e-3;
-
 /// Nominal times that pass before a job's tasks run on a machine that is yet to be rented.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Startup {
@@ -33,7 +31,9 @@
     }
 
     fn on(machine_type: &MachineType, image_gb: f64) -> Startup {
-        let gb_per_s = machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S);
+        let gb_per_s = machine_type
+            .fetch_gb_per_s
+            .max(constants::MIN_FETCH_GB_PER_S);
         let fetch_ms = (image_gb / gb_per_s * 1000.0) as u64;
         Startup {
             boot: machine_type.boot_time,
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -16,6 +16,9 @@
 
 // Peers
 
+/// A connection on which a peer has sent nothing for this long is closed: the peer has missed
+/// several announcements and is gone or unreachable.
+pub const PEER_IDLE_TIMEOUT: Duration = PEER_ANNOUNCE_INTERVAL.saturating_mul(10);
 /// Version of the frames between controller nodes. Raised when their layout changes; a peer of
 /// another version is disconnected.
 pub const PEER_VERSION: u8 = 1;
@@ -37,6 +40,10 @@
 
 // HTTP server
 
+/// Most characters of the reason in a refusal.
+pub const MAX_REASON_CHARS: usize = 200;
+/// How often a cancellation is attempted when the job's record changes between read and write.
+pub const MAX_CANCELLATION_ATTEMPTS: usize = 3;
 /// Bytes of a request or response body, by the protocol.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Bytes that are read of a longer body before its sender is cut off.
@@ -106,6 +113,8 @@
 
 // HTTP client
 
+/// Characters of an unexpected response's body that its error shows.
+pub const MAX_SHOWN_CHARACTERS: usize = 100;
 /// Bytes of a response of the state service or cloud: lists reach 512 KiB. A watch has no stated limit:
 /// what changed is read again in pages if it is more. Decoded it takes several times as much memory.
 pub const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
@@ -133,6 +142,10 @@
 
 // Rate limits
 
+/// Seconds' worth of calls, and of mutations, that may be made at once.
+pub const STORE_BURST_S: f64 = 1.0;
+/// Shortest time after which a caller tries again: rounding must not make it try at once.
+pub const MIN_TOKEN_WAIT_S: f64 = 0.001;
 /// Share of the state service's published rates that one node allows itself: the leader does
 /// most of the work, and three nodes share the limits.
 pub const RATE_SHARE: f64 = 0.6;
@@ -192,6 +205,8 @@
 
 // Records in the state service
 
+/// Mutations that the end of a job takes.
+pub const MUTATIONS_PER_FINISHED_JOB: usize = 2;
 /// How long a watch may stay open without a change. The send time of an answered watch is what the
 /// leader's knowledge of cancellations counts from, so it must be short.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -224,6 +239,8 @@
 
 // Scheduling
 
+/// Conditions that a transaction may have for each mutation, by the protocol.
+pub const CONDITIONS_PER_MUTATION: usize = 4;
 /// Between two scheduling passes: submissions of a burst share a round.
 pub const SCHEDULING_INTERVAL: Duration = Duration::from_millis(100);
 /// Starts that one transaction of a round writes, in as many records as that takes: with its
@@ -281,6 +298,10 @@
 
 // Workers
 
+/// Most doublings of the pause after failures; it reaches its maximum long before.
+pub const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+/// A start that is not sent within so many heartbeat intervals is undone.
+pub const STALLED_START_HEARTBEATS: u32 = 3;
 /// How long a worker waits for the response to its heartbeat, by the protocol.
 pub const WORKER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// How long the response to a heartbeat may wait for a round to be written: a commit takes about
@@ -306,6 +327,10 @@
 
 // Autoscaling
 
+/// Greatest age of a machine that is believed, s.
+pub const MAX_MACHINE_AGE_S: f64 = 1e9;
+/// Lower bound on a fetch rate, GB/s; a type with a rate of 0 would divide by 0.
+pub const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 /// Between machine lists: the list lags by seconds anyway.
 pub const MACHINE_LIST_INTERVAL: Duration = Duration::from_millis(6000);
 /// Machines a page of the cloud's list: the protocol's most.
--- a/src/engine/autoscaling/machine_list.rs
+++ b/src/engine/autoscaling/machine_list.rs
@@ -127,7 +127,9 @@
     if leader.was_returned(&id) {
         return;
     }
-    let age = Duration::from_millis((listed.age_s.clamp(0.0, MAX_AGE_S) * 1000.0) as u64);
+    let age = Duration::from_millis(
+        (listed.age_s.clamp(0.0, constants::MAX_MACHINE_AGE_S) * 1000.0) as u64,
+    );
     leader.machines.insert_if_absent(&id, |id| {
         tracing::info!(machine = %id, "machine found in the cloud's list");
         Machine::unidentified(id, listed.spot, now)
@@ -148,8 +150,5 @@
     });
 }
 
-/// Greatest age of a machine that is believed, s.
-const MAX_AGE_S: f64 = 1e9;
-
 #[cfg(test)]
 mod tests;
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -74,9 +74,6 @@
     max_mutations: usize,
 }
 
-/// Mutations that the end of a job takes.
-const MUTATIONS_PER_FINISHED_JOB: usize = 2;
-
 impl Completions {
     /// The job is done, or cancelled and gone from all machines.
     pub(super) fn add_finished(&mut self, job: &JobId) {
@@ -137,7 +134,7 @@
             let Some(job) = sources.jobs.get(&id) else {
                 continue;
             };
-            if transaction.space() < MUTATIONS_PER_FINISHED_JOB {
+            if transaction.space() < constants::MUTATIONS_PER_FINISHED_JOB {
                 self.finished.insert(id);
                 break;
             }
@@ -158,7 +155,7 @@
         sources: CompletionSources<'_>,
     ) {
         let unix_time = sources.context.unix_time();
-        while transaction.space() >= MUTATIONS_PER_FINISHED_JOB
+        while transaction.space() >= constants::MUTATIONS_PER_FINISHED_JOB
             && let Some(id) = self.unblocked.pop_first()
         {
             let dependencies = sources.dependencies;
--- a/src/engine/completions/tests.rs
+++ b/src/engine/completions/tests.rs
@@ -27,7 +27,10 @@
     let compared = transaction.comparisons.iter();
     let compared: Vec<_> = compared.map(|one| (&*one.key, one.version)).collect();
     assert_eq!(compared, [(LEADER_KEY, 40), ("live/job/run-1", 1)]);
-    assert_eq!(transaction.mutations.len(), MUTATIONS_PER_FINISHED_JOB);
+    assert_eq!(
+        transaction.mutations.len(),
+        constants::MUTATIONS_PER_FINISHED_JOB
+    );
     assert_eq!(batch.finished[0].job, JobId::from("run-1"));
     assert!(
         write(&mut completions, &job, 0).is_none(),
--- a/src/engine/heartbeats/failures.rs
+++ b/src/engine/heartbeats/failures.rs
@@ -5,9 +5,6 @@
 use crate::model::{JobId, Machine, MachineId};
 use std::collections::BTreeSet;
 
-/// Most doublings of the pause after failures; it reaches its maximum long before.
-const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-
 impl Engine {
     /// A task failed. A machine on which several jobs fail is quarantined; a job that later
     /// completes elsewhere shows that the machine was at fault.
@@ -46,7 +43,7 @@
         let now = self.context.now();
         if let Some(job) = self.jobs.get_mut(id) {
             job.consecutive_failures += 1;
-            let doublings = (job.consecutive_failures - 1).min(MAX_BACKOFF_DOUBLINGS);
+            let doublings = (job.consecutive_failures - 1).min(constants::MAX_BACKOFF_DOUBLINGS);
             let backoff = constants::TASK_FAILURE_INITIAL_BACKOFF * (1 << doublings);
             job.backoff_until = now + backoff.min(constants::TASK_FAILURE_MAX_BACKOFF);
         }
--- a/src/engine/rounds/maintenance.rs
+++ b/src/engine/rounds/maintenance.rs
@@ -6,9 +6,6 @@
 use crate::engine::jobs::Jobs;
 use crate::model::{Job, PlacementStage, TaskId, Timestamp};
 
-/// A start that is not sent within so many heartbeat intervals is undone.
-const STALLED_AFTER_HEARTBEATS: u32 = 3;
-
 impl Rounds {
     /// Begins a maintenance pass if one is due; whether it did.
     fn begin_maintenance_if_due(&mut self, now: Timestamp) -> bool {
@@ -64,7 +61,8 @@
     /// one that was sent stays until the machine's heartbeat proves where it is.
     fn stalled_starts(&self) -> Vec<TaskId> {
         let now = self.context.now();
-        let patience = STALLED_AFTER_HEARTBEATS * self.context.timing().heartbeat_interval;
+        let patience =
+            constants::STALLED_START_HEARTBEATS * self.context.timing().heartbeat_interval;
         let mut stalled = Vec::new();
         for (id, job) in self.jobs.iter() {
             for (index, placement) in &job.placements {
--- a/src/engine/scheduling.rs
+++ b/src/engine/scheduling.rs
@@ -7,9 +7,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Conditions that a transaction may have for each mutation, by the protocol.
-const CONDITIONS_PER_MUTATION: usize = 4;
-
 impl Engine {
     /// Plans a round if something has changed that may allow a placement.
     pub(super) fn schedule_when_due(&mut self) {
@@ -59,7 +56,8 @@
     fn round_limits(&self) -> RoundLimits {
         let records = self.records_per_transaction();
         // Besides its jobs, a round's conditions name the leader's key and its own records.
-        let conditions = CONDITIONS_PER_MUTATION * self.context.settings().cluster.state.txn_ops;
+        let conditions =
+            constants::CONDITIONS_PER_MUTATION * self.context.settings().cluster.state.txn_ops;
         let leader = self.leadership.leader();
         RoundLimits {
             starts: records * self.starts_per_record(),
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -7,16 +7,11 @@
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::MissedTickBehavior;
 
-/// A connection on which a peer has sent nothing for this long is closed: the peer has missed
-/// several announcements and is gone or unreachable.
-const IDLE_TIMEOUT: Duration = constants::PEER_ANNOUNCE_INTERVAL.saturating_mul(10);
-
 /// What this node tells its peers, and where it passes on what they say.
 #[derive(Clone)]
 pub(super) struct PeerEndpoint {
@@ -91,9 +86,10 @@
     async fn answer_messages(&self, mut stream: TcpStream) -> Result<Infallible, PeerError> {
         stream.set_nodelay(true)?;
         loop {
-            let message = tokio::time::timeout(IDLE_TIMEOUT, read_frame(&mut stream))
-                .await
-                .unwrap_or(Err(PeerError::Timeout))?;
+            let message =
+                tokio::time::timeout(constants::PEER_IDLE_TIMEOUT, read_frame(&mut stream))
+                    .await
+                    .unwrap_or(Err(PeerError::Timeout))?;
             let answer = self.answer(message).await;
             write_frame(&mut stream, &answer).await?;
         }
--- a/src/rate_limit/token_bucket.rs
+++ b/src/rate_limit/token_bucket.rs
@@ -1,10 +1,8 @@
 //! The token bucket itself, without a clock: each call tells the time.
 
+use crate::constants;
 use std::time::Duration;
 
-/// Shortest time after which a caller tries again: rounding must not make it try at once.
-const MIN_RETRY_AFTER_S: f64 = 0.001;
-
 /// There are fewer tokens than asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too few tokens for {retry_after:?}")]
@@ -53,7 +51,7 @@
             return Ok(());
         }
         let wait_s = (required - self.tokens) / self.rate;
-        let retry_after = Duration::from_secs_f64(wait_s.max(MIN_RETRY_AFTER_S));
+        let retry_after = Duration::from_secs_f64(wait_s.max(constants::MIN_TOKEN_WAIT_S));
         Err(InsufficientTokens { retry_after })
     }
 
--- a/src/store/limits.rs
+++ b/src/store/limits.rs
@@ -5,9 +5,6 @@
 use crate::rate_limit::RateLimiter;
 use crate::settings::Settings;
 
-/// Seconds' worth of calls, and of mutations, that may be made at once.
-const BURST_S: f64 = 1.0;
-
 /// This node's share of the limits on calls and on mutations.
 #[derive(Debug)]
 pub(super) struct CallLimits {
@@ -25,8 +22,14 @@
         let largest_transaction = service.txn_ops as f64 / constants::RATE_SHARE;
         let mutation_rate = service.write_rps.max(largest_transaction);
         CallLimits {
-            calls: RateLimiter::new(service.rps * constants::RATE_SHARE, BURST_S),
-            mutations: RateLimiter::new(mutation_rate * constants::RATE_SHARE, BURST_S),
+            calls: RateLimiter::new(
+                service.rps * constants::RATE_SHARE,
+                constants::STORE_BURST_S,
+            ),
+            mutations: RateLimiter::new(
+                mutation_rate * constants::RATE_SHARE,
+                constants::STORE_BURST_S,
+            ),
             user_mutations: RateLimiter::new(
                 service.write_rps * constants::USER_WRITE_SHARE,
                 constants::USER_WRITE_BURST_S,
--- a/src/store/response.rs
+++ b/src/store/response.rs
@@ -4,14 +4,12 @@
     MalformedCause, NotExecutedCause, Record, StoreCall, StoreError, StoreReply,
     UnknownOutcomeCause,
 };
+use crate::constants;
 use crate::http::HttpResponse;
 use crate::wire::decode;
 use crate::wire::store::{Conflict, Item, LeaseGranted, Revision};
 use serde::de::DeserializeOwned;
 
-/// Characters of an unexpected response's body that its error shows.
-const MAX_SHOWN_CHARACTERS: usize = 100;
-
 /// Reads the response to `call`.
 pub(super) fn read(call: &StoreCall, response: &HttpResponse) -> Result<StoreReply, StoreError> {
     match (call, response.status) {
@@ -73,7 +71,7 @@
 fn unexpected(response: &HttpResponse) -> StoreError {
     let status = response.status;
     let text = String::from_utf8_lossy(&response.body);
-    let text: String = text.chars().take(MAX_SHOWN_CHARACTERS).collect();
+    let text: String = text.chars().take(constants::MAX_SHOWN_CHARACTERS).collect();
     MalformedCause::Status { status, text }.into()
 }
 
