--- a/src/engine/tests/combined_faults/cancellations.rs
+++ b/src/engine/tests/combined_faults/cancellations.rs
@@ -180,6 +180,6 @@
             outcomes.insert(format!("{:?}", cluster.final_state("run-1").unwrap()));
         }
     }
-    assert_eq!(outcomes.len(), 2, "both outcomes were met: {outcomes:?}");
+    assert_eq!(outcomes.len(), 2, "both outcomes occurred: {outcomes:?}");
     assert!(outcomes.contains(&format!("{:?}", JobState::Done)));
 }
--- a/src/engine/tests/combined_faults/late_messages.rs
+++ b/src/engine/tests/combined_faults/late_messages.rs
@@ -18,7 +18,7 @@
     cluster.run(15_000);
     cluster.crash_leader();
     assert_completes(&mut cluster, "run-1", 120_000);
-    assert_eq!(cluster.starts, 4, "what was done is done again");
+    assert_eq!(cluster.starts, 4, "completed tasks ran again");
 }
 
 /// The same for a record of a former leader, written over that of its successor.
@@ -37,7 +37,7 @@
         cluster.restart(leader, 15_000);
     }
     assert_completes(&mut cluster, "run-1", 120_000);
-    assert_eq!(cluster.starts, 4, "what was done is done again");
+    assert_eq!(cluster.starts, 4, "completed tasks ran again");
 }
 
 /// Guards against transactions that rely on being executed in order, or at all: rounds, completions
--- a/src/engine/tests/combined_faults/leader_changes.rs
+++ b/src/engine/tests/combined_faults/leader_changes.rs
@@ -26,7 +26,7 @@
     assert_eq!(
         cluster.count_keys("rounds/"),
         rounds + 1,
-        "written, and not yet sent"
+        "durable, and not yet sent"
     );
     cluster.faults.store_refuses.insert(leader);
     cluster.faults.nodes_without_peers.insert(leader);
@@ -70,7 +70,7 @@
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 6));
     cluster.run(10_000);
     let former_leader = cluster.leader().unwrap();
-    let (fast_follower, slow_follower) = followers(&cluster);
+    let [fast_follower, slow_follower] = followers(&cluster);
     cluster.faults.store_refuses.insert(former_leader);
     cluster.faults.store_call_delay.insert(slow_follower, 1_400);
     while cluster.count_keys("live/lead") == 1 {
--- a/src/engine/tests/combined_faults/mod.rs
+++ b/src/engine/tests/combined_faults/mod.rs
@@ -24,10 +24,10 @@
 }
 
 /// The nodes that do not lead.
-pub(super) fn followers(cluster: &SimulatedCluster) -> (usize, usize) {
+pub(super) fn followers(cluster: &SimulatedCluster) -> [usize; 2] {
     let leader = cluster.leader();
     let mut followers = (0..3).filter(|node| Some(*node) != leader);
-    (followers.next().unwrap(), followers.next().unwrap())
+    [followers.next().unwrap(), followers.next().unwrap()]
 }
 
 /// All workers send a heartbeat to this node at once, whichever they reported to before.
--- a/src/engine/tests/dependencies/blocked_jobs.rs
+++ b/src/engine/tests/dependencies/blocked_jobs.rs
@@ -21,7 +21,7 @@
     let waiting = dependent_job("run-2", JobKind::Array, 8, &["run-1"]);
     let mut cluster = cluster_with(vec![first, waiting]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    assert_eq!(cluster.workers.len(), 1, "nothing is rented for it");
+    assert_eq!(cluster.workers.len(), 1, "no machine is rented for it");
     // It uses the rest of the team's quota, although the blocked job was submitted first.
     let mut other = dependent_job("run-3", JobKind::Gang, 7, &[]);
     other.priority = Priority::Low;
--- a/src/engine/tests/dependencies/cancellation.rs
+++ b/src/engine/tests/dependencies/cancellation.rs
@@ -68,7 +68,7 @@
     assert_eq!(
         cluster.final_state("run-2"),
         None,
-        "by the cancelled job's record alone"
+        "the cancelled job's record alone decides"
     );
 }
 
--- a/src/engine/tests/dependencies/chains.rs
+++ b/src/engine/tests/dependencies/chains.rs
@@ -52,7 +52,7 @@
         assert_eq!(cluster.violations, Vec::<String>::new());
         assert_eq!(cluster.starts == 2, open);
     }
-    assert_eq!(outcomes.len(), 2, "both outcomes were met");
+    assert_eq!(outcomes.len(), 2, "both outcomes occurred");
 }
 
 /// Many jobs depend on one, one on many, and many on each other in a row.
--- /dev/null
+++ b/src/engine/tests/dependencies/completion_races.rs
@@ -0,0 +1,136 @@
+//! A job's completion by the leader, beside its cancellation, the submission of its dependents, and
+//! status queries about them.
+
+use super::super::simulated_cluster::{Millis, SimulatedCluster};
+use super::super::support::{assert_completes, cluster_with, short_job};
+use super::event_orders::{dependent_on, submit_dependents};
+use super::status_queries::{EventTimes, LEAF, ROOT, StatusQueries};
+use crate::engine::records;
+use crate::wire::user::{JobKind, JobState};
+use std::collections::BTreeSet;
+
+/// The cluster of [`completion_races_with_cancellation_submission_and_queries`].
+fn cluster_with_root_and_slow_store() -> SimulatedCluster {
+    let mut cluster = cluster_with(vec![short_job(ROOT, JobKind::Array, 1)]);
+    cluster.faults.store_delay = 40;
+    cluster
+}
+
+/// When the root's completion is durable without a cancellation.
+fn completion_time() -> Millis {
+    let mut cluster = cluster_with_root_and_slow_store();
+    assert!(cluster.run_until(60_000, |w| w.is_done(ROOT)));
+    cluster.now
+}
+
+/// When the events of a race are due.
+struct RaceCase {
+    completed_at: Millis,
+    cancelled_at: Millis,
+    submitted_at: Millis,
+}
+
+/// Plays a race, and checks all answers; the root's cancellation may be too late.
+fn play_race(case: &RaceCase, context: &str) -> (SimulatedCluster, EventTimes) {
+    let mut cluster = cluster_with_root_and_slow_store();
+    cluster.run(case.completed_at - 2_100 - cluster.now);
+    let leader = cluster.leader().unwrap();
+    let nodes = [leader, (leader + 1) % 3];
+    cluster.faults.watch_delay.insert(nodes[1], 250);
+    let mut queries = StatusQueries::default();
+    let mut times = EventTimes::default();
+    while cluster.now < case.completed_at + 3_000 {
+        if times.submitted.is_none() && cluster.now >= case.submitted_at {
+            submit_dependents(&mut cluster, &mut times);
+        }
+        let due = times.cancelled.is_none() && cluster.now >= case.cancelled_at;
+        if due && cluster.has_live_record(ROOT) {
+            cluster.cancel(ROOT);
+            times.cancelled = Some(cluster.now);
+        }
+        queries.ask_repeatedly(&mut cluster, nodes, 1, 10);
+    }
+    cluster.faults = Default::default();
+    queries.run(&mut cluster, 1_500);
+    queries.check(&times, context);
+    (cluster, times)
+}
+
+/// The leader's completion of the root races with the other events: which of them is durable first
+/// depends on their times. All answers to status queries must be consistent.
+#[test]
+fn completion_races_with_cancellation_submission_and_queries() {
+    let end = completion_time();
+    let mut outcomes = BTreeSet::new();
+    for cancelled_at in (end - 180..end + 120).step_by(29) {
+        for submitted_at in [end - 2_000, end - 130, end - 60, end + 20, end + 1_500] {
+            let case = RaceCase {
+                completed_at: end,
+                cancelled_at,
+                submitted_at,
+            };
+            let context = format!("cancelled at {cancelled_at}, submitted at {submitted_at}");
+            let (mut cluster, times) = play_race(&case, &context);
+            if times.cancelled.is_some() {
+                let cancelled = Some(JobState::Cancelled);
+                let ended = |w: &SimulatedCluster| w.final_state(LEAF) == cancelled;
+                assert!(cluster.run_until(10_000, ended), "{context}");
+                assert_eq!(cluster.starts, 1, "{context}");
+            } else {
+                assert_completes(&mut cluster, LEAF, 120_000);
+            }
+            assert_eq!(cluster.violations, Vec::<String>::new(), "{context}");
+            outcomes.insert(times.cancelled.is_some());
+        }
+    }
+    assert_eq!(outcomes.len(), 2, "both outcomes occurred");
+}
+
+/// Guards against the reply to a former leader's call: its commit of a completion is executed, and the
+/// reply comes when it no longer leads and has forgotten that the job was done. It must not take the
+/// job for cancelled then, and its dependents with it.
+#[test]
+fn completion_acknowledged_after_leadership_was_lost_cancels_no_job() {
+    let mut lost_before_reply = 0;
+    // Nodes announce themselves at a fixed time of each second.
+    for extra_run_time in (0..1_000).step_by(125) {
+        let mut cluster = cluster_with(vec![
+            short_job(ROOT, JobKind::Array, 1),
+            dependent_on(LEAF, ROOT),
+        ]);
+        cluster
+            .extra_run_time
+            .insert(format!("{ROOT}/0"), extra_run_time);
+        assert!(cluster.run_until(60_000, |w| !w.completed_tasks.is_empty()));
+        let former_leader = cluster.leader().unwrap();
+        cluster
+            .faults
+            .store_reply_delay
+            .insert(former_leader, 1_400);
+        cluster.faults.watch_delay.insert(former_leader, 2_500);
+        // Its successor can't read the records yet.
+        cluster.faults.refuse_record_lists = true;
+        while !cluster.is_done(ROOT) {
+            cluster.run(1);
+        }
+        let end = cluster.now;
+        cluster.delete_record(records::LEAD);
+        let stepped_down = |w: &SimulatedCluster| !w.engine(former_leader).unwrap().view().leading;
+        lost_before_reply += usize::from(cluster.run_until(1_300, stepped_down));
+        cluster.run(end + 1_450 - cluster.now);
+        cluster.faults.store_reply_delay.clear();
+        cluster.faults.watch_delay.clear();
+        let answer = cluster.blocked_job_state(former_leader, LEAF);
+        assert_ne!(
+            answer,
+            Some(JobState::Cancelled),
+            "runs {extra_run_time} ms longer"
+        );
+        cluster.faults.refuse_record_lists = false;
+        assert_completes(&mut cluster, LEAF, 120_000);
+    }
+    assert!(
+        lost_before_reply > 0,
+        "leadership was always lost after the reply"
+    );
+}
--- a/src/engine/tests/dependencies/mod.rs
+++ b/src/engine/tests/dependencies/mod.rs
@@ -4,6 +4,7 @@
 mod blocked_jobs;
 mod cancellation;
 mod chains;
+mod completion_races;
 mod event_orders;
 mod production_records;
 mod status_queries;
--- a/src/engine/tests/failover.rs
+++ b/src/engine/tests/failover.rs
@@ -18,10 +18,7 @@
         }
         assert_completes(&mut cluster, "run-1", 150_000);
         assert_completes(&mut cluster, "run-2", 150_000);
-        assert!(
-            cluster.starts <= 8,
-            "crash at {crash_at}: work was done again"
-        );
+        assert!(cluster.starts <= 8, "crash at {crash_at}: tasks ran again");
     }
 }
 
--- a/src/engine/tests/job_lifecycle.rs
+++ b/src/engine/tests/job_lifecycle.rs
@@ -53,7 +53,7 @@
         let before = cluster.starts;
         assert!(
             cluster.run_until(800, |w| w.starts > before),
-            "{id} still waits after 0.8 s"
+            "{id} is not started after 0.8 s"
         );
         cluster.cancel(&id);
     }
--- a/src/engine/tests/large_gangs.rs
+++ b/src/engine/tests/large_gangs.rs
@@ -93,7 +93,7 @@
     assert!(cluster.run_until(30_000, |w| w.count_keys("rounds/") < RECORDS));
     assert!(
         cluster.count_keys("rounds/") > 0,
-        "removed in several transactions"
+        "deleted in several transactions"
     );
     cluster.crash_leader();
     assert_no_records_left(&mut cluster, 60_000);
@@ -213,7 +213,7 @@
     assert_eq!(
         cluster.count_keys("rounds/"),
         1,
-        "what the late copy has left"
+        "the record of the late commit"
     );
     assert!(cluster.run_until(90_000, |w| w.count_keys("rounds/") == 0));
     assert_eq!(cluster.term(), term);
--- a/src/engine/tests/leadership.rs
+++ b/src/engine/tests/leadership.rs
@@ -19,7 +19,7 @@
     assert!(!cluster.engine(former_leader).unwrap().view().leading);
     cluster.submit(short_job("run-2", JobKind::Array, 2));
     assert_completes(&mut cluster, "run-2", 60_000);
-    assert_eq!(cluster.starts, 3, "nothing was started again");
+    assert_eq!(cluster.starts, 3, "no task was started again");
 }
 
 #[test]
--- a/src/engine/tests/machine_lists.rs
+++ b/src/engine/tests/machine_lists.rs
@@ -67,7 +67,7 @@
     let machines = cluster.workers.len();
     cluster.submit(short_job("run-2", JobKind::Array, 8));
     cluster.run(60_000);
-    assert_eq!(cluster.workers.len(), machines, "nothing rented");
+    assert_eq!(cluster.workers.len(), machines, "no machine rented");
     assert!(
         busy.iter()
             .all(|machine| !cluster.returned_machines.contains(machine))
--- a/src/engine/tests/machines.rs
+++ b/src/engine/tests/machines.rs
@@ -12,7 +12,7 @@
     cluster.faults.hung_machines.insert(machine.clone());
     cluster.faults.cloud_unavailable = true;
     cluster.run(60_000);
-    assert_eq!(cluster.starts, 1, "silence alone proves nothing");
+    assert_eq!(cluster.starts, 1, "missing heartbeats alone prove nothing");
     cluster.faults.cloud_unavailable = false;
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1 && w.starts == 2));
     assert!(cluster.returned_machines.contains(&machine));
@@ -31,7 +31,7 @@
     assert_completes(&mut cluster, "run-3", 120_000);
     assert!(
         cluster.returned_machines.contains(&machine),
-        "the sick machine is given back"
+        "the failing machine is returned"
     );
     let returned_before = cluster.returned_machines.len();
     cluster.submit(short_job("run-4", JobKind::Array, 1));
@@ -101,7 +101,7 @@
     );
     assert!(cluster.run_until(30_000, |w| w.returned_machines.contains(&machine)));
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    assert_eq!(cluster.starts, 5, "nothing was sent to it");
+    assert_eq!(cluster.starts, 5, "no start was sent to it");
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
@@ -138,7 +138,7 @@
     }
     assert!(
         cluster.returned_machines.contains(&machine),
-        "silent in spite of the copies"
+        "its lease expired in spite of the copies"
     );
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
     cluster.crash_leader();
--- a/src/engine/tests/partitions.rs
+++ b/src/engine/tests/partitions.rs
@@ -23,8 +23,8 @@
     cluster.submit(short_job("run-2", JobKind::Array, 1));
     cluster.faults.store_unavailable = true;
     cluster.run(15_000);
-    assert_eq!(cluster.starts, 1, "nothing is started in doubt");
-    assert_eq!(cluster.running_tasks("run-1"), 1, "what runs goes on");
+    assert_eq!(cluster.starts, 1, "no task starts during the outage");
+    assert_eq!(cluster.running_tasks("run-1"), 1, "running tasks continue");
     cluster.faults.store_unavailable = false;
     assert_completes(&mut cluster, "run-2", 60_000);
     assert_eq!(cluster.running_tasks("run-1"), 1);
@@ -47,7 +47,7 @@
     assert_eq!(
         cluster.running_tasks("run-2"),
         0,
-        "a node in the zone passes the cancellation on"
+        "a node in the zone forwards the cancellation"
     );
     cluster.faults.zones_partitioned = false;
     cluster.run(20_000);
@@ -55,7 +55,7 @@
     assert_eq!(
         cluster.returned_machines,
         Vec::<String>::new(),
-        "nor is it returned when the cut ends"
+        "no machine is returned when the partition ends"
     );
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
--- a/src/engine/tests/stored_records.rs
+++ b/src/engine/tests/stored_records.rs
@@ -98,7 +98,7 @@
         let leader = cluster.leader().unwrap();
         cluster.restart(leader, 800);
         assert_completes(&mut cluster, "run-8", 120_000);
-        assert_eq!(cluster.starts, 2, "leader ended after {crash_at} ms");
+        assert_eq!(cluster.starts, 2, "leader crashed after {crash_at} ms");
         assert!(cluster.run_until(10_000, |w| w.count_keys("rounds/")
             + w.count_keys("live/job/")
             == 0));
--- a/tests/dependencies_http/states.rs
+++ b/tests/dependencies_http/states.rs
@@ -74,7 +74,7 @@
     assert_eq!(user.submit(body).await, reply(201, "queued"));
     assert_eq!(user.cancel("run-1").await, reply(200, "done"));
     assert_eq!(user.query("run-2").await, reply(200, "queued"));
-    let may_start = async {
+    let released = async {
         loop {
             let record = service.value("live/job/run-2").unwrap();
             let fields = record.as_map().unwrap();
@@ -84,7 +84,7 @@
             tokio::task::yield_now().await;
         }
     };
-    let may_start = tokio::time::timeout(TIMEOUT, may_start).await;
-    may_start.expect("may start in time");
+    let released = tokio::time::timeout(TIMEOUT, released).await;
+    released.expect("released in time");
     assert_eq!(user.query("run-2").await, reply(200, "queued"));
 }
