--- a/benches/load/state_service.rs
+++ b/benches/load/state_service.rs
@@ -50,7 +50,7 @@
     match records.item(&key) {
         Some(item) => (StatusCode::OK, encode(&item)),
         None => {
-            let revision = records.revision;
+            let revision = records.revision();
             (StatusCode::NOT_FOUND, encode(&wire::Revision { revision }))
         }
     }
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -8,27 +8,65 @@
 /// Changes that are kept for watches, as the protocol says.
 const CHANGES_KEPT: usize = 10_000;
 
+/// A value with its version.
+struct StoredValue {
+    value: Value,
+    version: u64,
+}
+
+/// A change, at the revision that it made.
+struct LoggedChange {
+    revision: u64,
+    event: wire::WatchEvent,
+}
+
 /// Keys with their values and versions, and the changes that led there.
 #[derive(Default)]
 pub(crate) struct Records {
-    pub(crate) values: BTreeMap<String, (Value, u64)>,
-    pub(crate) revision: u64,
-    changes: VecDeque<(u64, wire::WatchEvent)>,
+    values: BTreeMap<String, StoredValue>,
+    revision: u64,
+    changes: VecDeque<LoggedChange>,
     leases: u64,
 }
 
 impl Records {
     fn version(&self, key: &str) -> u64 {
-        self.values.get(key).map_or(0, |(_, version)| *version)
+        self.values.get(key).map_or(0, |stored| stored.version)
+    }
+
+    /// The revision of the last change.
+    pub(crate) fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Writes a value without a change for watches; its version.
+    #[allow(dead_code, reason = "only the tests over HTTP use it")]
+    pub(crate) fn put_without_change(&mut self, key: &str, value: Value) -> u64 {
+        self.revision += 1;
+        self.store(key, value);
+        self.revision
+    }
+
+    /// Deletes a key without a change for watches; whether it was there.
+    #[allow(dead_code, reason = "only the tests over HTTP use it")]
+    pub(crate) fn delete_without_change(&mut self, key: &str) -> bool {
+        self.values.remove(key).is_some()
+    }
+
+    /// Stores a value at the present revision.
+    fn store(&mut self, key: &str, value: Value) {
+        let version = self.revision;
+        let stored = StoredValue { value, version };
+        self.values.insert(key.to_owned(), stored);
     }
 
     /// The key with its value.
     pub(crate) fn item(&self, key: &str) -> Option<wire::Item> {
-        let (value, version) = self.values.get(key)?;
+        let stored = self.values.get(key)?;
         Some(wire::Item {
             key: key.to_owned(),
-            value: value.clone(),
-            version: *version,
+            value: stored.value.clone(),
+            version: stored.version,
         })
     }
 
@@ -50,27 +88,27 @@
         }
     }
 
-    /// Carries a transaction out: the new revision, or the keys whose conditions fail.
+    /// Executes a transaction: the new revision, or the keys whose comparison fails.
     pub(crate) fn commit(&mut self, transaction: wire::Transaction) -> Result<u64, Vec<String>> {
         let failed = transaction.comparisons.iter();
-        let failed = failed.filter(|condition| self.version(&condition.key) != condition.version);
-        let failed: Vec<String> = failed.map(|condition| condition.key.clone()).collect();
+        let failed =
+            failed.filter(|comparison| self.version(&comparison.key) != comparison.version);
+        let failed: Vec<String> = failed.map(|comparison| comparison.key.clone()).collect();
         if !failed.is_empty() {
             return Err(failed);
         }
         self.revision += 1;
-        for write in transaction.mutations {
-            self.apply(write);
+        for mutation in transaction.mutations {
+            self.apply(mutation);
         }
         Ok(self.revision)
     }
 
-    fn apply(&mut self, write: wire::Mutation) {
+    fn apply(&mut self, mutation: wire::Mutation) {
         let version = self.revision;
-        let event = match write {
+        let event = match mutation {
             wire::Mutation::Put { key, value, .. } => {
-                let stored = (value.clone(), version);
-                self.values.insert(key.clone(), stored);
+                self.store(&key, value.clone());
                 wire::WatchEvent::Put {
                     key,
                     value,
@@ -87,7 +125,8 @@
 
     /// Adds a change of the present revision for watches.
     pub(crate) fn note_change(&mut self, event: wire::WatchEvent) {
-        self.changes.push_back((self.revision, event));
+        let revision = self.revision;
+        self.changes.push_back(LoggedChange { revision, event });
         if self.changes.len() > CHANGES_KEPT {
             self.changes.pop_front();
         }
@@ -100,8 +139,8 @@
             wire::WatchEvent::Delete { key, .. } => key.starts_with(under),
         };
         let newer = self.changes.iter().rev();
-        let newer = newer.take_while(|(at, _)| *at > after);
-        let mut events: Vec<_> = newer.map(|(_, event)| event.clone()).collect();
+        let newer = newer.take_while(|change| change.revision > after);
+        let mut events: Vec<_> = newer.map(|change| change.event.clone()).collect();
         events.reverse();
         events.retain(is_under);
         wire::Changes {
--- a/tests/support/state_service.rs
+++ b/tests/support/state_service.rs
@@ -18,7 +18,7 @@
 /// The state service, with what may be wrong with it.
 #[derive(Default)]
 pub(crate) struct StateService {
-    pub(crate) records: Mutex<Records>,
+    records: Mutex<Records>,
     changed: Notify,
     /// The service refuses to read the records of this job.
     pub(crate) refused_job: Mutex<Option<&'static str>>,
@@ -38,16 +38,13 @@
     /// Writes a record as another node does, without a change for watches.
     pub(crate) fn put_without_change(&self, key: &str, value: Value) {
         let mut records = self.records.lock().unwrap();
-        records.revision += 1;
-        let version = records.revision;
-        records.values.insert(key.into(), (value, version));
+        records.put_without_change(key, value);
     }
 
     /// Writes a record as another node does, with a change for watches.
     pub(crate) fn put_with_change(&self, key: &str, value: Value) {
-        self.put_without_change(key, value.clone());
         let mut records = self.records.lock().unwrap();
-        let version = records.revision;
+        let version = records.put_without_change(key, value.clone());
         let key = key.to_owned();
         let event = wire::WatchEvent::Put {
             key,
@@ -58,21 +55,20 @@
         self.changed.notify_waiters();
     }
 
+    /// The value of a key.
     pub(crate) fn value(&self, key: &str) -> Option<Value> {
         let records = self.records.lock().unwrap();
-        records.values.get(key).map(|(value, _)| value.clone())
+        records.item(key).map(|item| item.value)
     }
 
     /// Replaces the live record of that key, if there is one, by the job's final record.
     fn end_job_under(&self, key: &str) {
         let mut records = self.records.lock().unwrap();
         if let Some(id) = key.strip_prefix("live/job/")
-            && records.values.remove(key).is_some()
+            && records.delete_without_change(key)
         {
-            records.revision += 1;
             let last = map(vec![("state", "done".into()), ("tasks", 3.into())]);
-            let last = (last, records.revision);
-            records.values.insert(format!("final/{id}"), last);
+            records.put_without_change(&format!("final/{id}"), last);
         }
     }
 
@@ -99,7 +95,7 @@
     match records.item(&key) {
         Some(item) => (StatusCode::OK, encode(&item)),
         None => {
-            let revision = records.revision;
+            let revision = records.revision();
             (StatusCode::NOT_FOUND, encode(&wire::Revision { revision }))
         }
     }
