--- a/src/engine/tests/dependencies/blocked_jobs.rs
+++ b/src/engine/tests/dependencies/blocked_jobs.rs
@@ -2,7 +2,7 @@
 
 use super::super::simulated_cluster::SimulatedCluster;
 use super::super::support::{
-    assert_completes, cluster_with, dependent_job, lasting_job, short_job,
+    JobChanges, assert_completes, cluster_with, dependent_job, lasting_job, short_job,
 };
 use crate::model::{Job, JobId, JobPhase, JobSpec};
 use crate::wire::user::{JobKind, Priority};
@@ -23,8 +23,7 @@
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
     assert_eq!(cluster.workers.len(), 1, "no machine is rented for it");
     // It uses the rest of the team's quota, although the blocked job was submitted first.
-    let mut other = dependent_job("run-3", JobKind::Gang, 7, &[]);
-    other.priority = Priority::Low;
+    let other = dependent_job("run-3", JobKind::Gang, 7, &[]).with_priority(Priority::Low);
     cluster.submit(other);
     assert_completes(&mut cluster, "run-3", 60_000);
     assert_completes(&mut cluster, "run-2", 120_000);
--- a/src/engine/tests/replay/scenarios/load.rs
+++ b/src/engine/tests/replay/scenarios/load.rs
@@ -17,8 +17,7 @@
     cluster.run(70_000);
     cluster.submit(whole_machine_gang("run-3", 2).with_priority(Priority::Production));
     cluster.run(40_000);
-    let mut urgent = lasting_job("run-4", JobKind::Array, 4, 15.0);
-    urgent.priority = Priority::High;
+    let urgent = lasting_job("run-4", JobKind::Array, 4, 15.0).with_priority(Priority::High);
     cluster.submit(urgent);
     if let Some(machine) = cluster.machine_of("run-2") {
         cluster.faults.preemption_notices.insert(machine, 30.0);
--- a/src/engine/tests/slow_links.rs
+++ b/src/engine/tests/slow_links.rs
@@ -2,7 +2,7 @@
 //! overtake one another, with more tasks than resources.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
-use super::support::{lasting_job, short_job, whole_machine_gang};
+use super::support::{JobChanges, lasting_job, short_job, whole_machine_gang};
 use crate::wire::user::{JobKind, JobSubmission, Priority};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -16,8 +16,7 @@
 fn large_jobs() -> [JobSubmission; 2] {
     let mut gang = whole_machine_gang("run-gang", 8);
     gang.single_zone = true;
-    let mut array = short_job("run-array", JobKind::Array, 150);
-    array.priority = Priority::Low;
+    let array = short_job("run-array", JobKind::Array, 150).with_priority(Priority::Low);
     [gang, array]
 }
 
--- a/src/engine/tests/starvation.rs
+++ b/src/engine/tests/starvation.rs
@@ -1,7 +1,7 @@
 //! Large jobs and jobs of low priority beside a stream of others.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
-use super::support::{assert_completes, lasting_job, short_job, whole_machine_gang};
+use super::support::{JobChanges, assert_completes, lasting_job, short_job, whole_machine_gang};
 use crate::wire::user::{JobKind, Priority};
 
 /// A gang needs sixteen whole machines in a zone of eighteen, beside a stream of small jobs that
@@ -46,8 +46,7 @@
     let mut cluster = SimulatedCluster::new(3, 400.0);
     cluster.faults.zone_capacity = Some(4);
     cluster.run(2_000);
-    let mut array = short_job("run-array", JobKind::Array, 150);
-    array.priority = Priority::Low;
+    let array = short_job("run-array", JobKind::Array, 150).with_priority(Priority::Low);
     let mut service = short_job("run-service", JobKind::Service, 8);
     (service.priority, service.spread_zones) = (Priority::Normal, true);
     let mut urgent = 0;
@@ -88,8 +87,7 @@
         (gang.gpus, gang.priority) = (4.0, Priority::High);
         cluster.submit(gang);
     }
-    let mut low = short_job("run-2", JobKind::Array, 4);
-    low.priority = Priority::Low;
+    let low = short_job("run-2", JobKind::Array, 4).with_priority(Priority::Low);
     cluster.submit(low);
     assert_completes(&mut cluster, "run-2", 60_000);
 }
