--- a/src/node/peers/tests.rs
+++ b/src/node/peers/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::engine_queue::QueuedCommand;
+use std::time::Duration;
 use tokio::sync::mpsc;
 
 /// A peer's listener with what its engine would see.
