--- a/src/engine/tests/dependencies/completion_races.rs
+++ b/src/engine/tests/dependencies/completion_races.rs
@@ -98,9 +98,8 @@
             short_job(ROOT, JobKind::Array, 1),
             dependent_on(LEAF, ROOT),
         ]);
-        cluster
-            .extra_run_time
-            .insert(format!("{ROOT}/0"), extra_run_time);
+        let task = format!("{ROOT}/0");
+        cluster.extra_run_time.insert(task, extra_run_time);
         assert!(cluster.run_until(60_000, |w| !w.completed_tasks.is_empty()));
         let former_leader = cluster.leader().unwrap();
         cluster
