--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -95,6 +95,14 @@
         self.removals.push_back(key);
     }
 
+    /// Whether nothing waits to be written.
+    fn is_empty(&self) -> bool {
+        self.finished.is_empty()
+            && self.progress.is_empty()
+            && self.unblocked.is_empty()
+            && self.removals.is_empty()
+    }
+
     /// The next transaction, if there is something to write and none is in flight: ends of jobs
     /// first, then jobs that are not blocked any more, and now and then progress and removals.
     pub(super) fn next_transaction(
@@ -106,6 +114,13 @@
             return None;
         }
         let state = &sources.context.settings().cluster.state;
+        let progress_is_due = now >= self.next_progress_at;
+        if progress_is_due {
+            self.next_progress_at = now + progress_interval(state.write_rps);
+        }
+        if self.is_empty() {
+            return None;
+        }
         let mut transaction = CompletionTransaction {
             transaction: Transaction::default().compare(LEADER_KEY, sources.leader_version),
             batch: CompletionBatch::default(),
@@ -113,10 +128,9 @@
         };
         self.write_finished_jobs(&mut transaction, sources);
         self.write_unblocked_jobs(&mut transaction, sources);
-        if now >= self.next_progress_at {
+        if progress_is_due {
             self.write_progress(&mut transaction, sources);
             self.write_removals(&mut transaction);
-            self.next_progress_at = now + progress_interval(state.write_rps);
         }
         if transaction.transaction.mutations.is_empty() {
             return None;
