--- a/benches/load/state_service.rs
+++ b/benches/load/state_service.rs
@@ -1,17 +1,16 @@
 //! A state service, written from the protocol: keys, conditional commits, leases that never end,
 //! and watches.
 
-use crate::records::Records;
+use crate::records::{ListQuery, Records, Reply, WatchQuery};
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{Path, Query, State};
 use axum::http::StatusCode;
 use axum::routing::{get, post};
-use serde::Deserialize;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::sync::Notify;
-use umbervale::wire::{decode, encode, store as wire};
+use umbervale::wire::{decode, encode};
 
 /// The service's data, shared by its handlers.
 #[derive(Default)]
@@ -45,58 +44,29 @@
     }
 }
 
-async fn read_one(State(service): Shared, Path(key): Path<String>) -> (StatusCode, Vec<u8>) {
-    let records = service.records();
-    match records.item(&key) {
-        Some(item) => (StatusCode::OK, encode(&item)),
-        None => {
-            let revision = records.revision();
-            (StatusCode::NOT_FOUND, encode(&wire::Revision { revision }))
-        }
-    }
-}
-
-#[derive(Deserialize)]
-struct ListQuery {
-    under: String,
-    after: Option<String>,
-    page: usize,
+async fn read_one(State(service): Shared, Path(key): Path<String>) -> Reply {
+    service.records().read(&key)
 }
 
 async fn list(State(service): Shared, Query(query): Query<ListQuery>) -> Vec<u8> {
-    let records = service.records();
-    encode(&records.list(&query.under, query.after.as_deref(), query.page))
+    encode(&service.records().list(&query))
 }
 
-async fn commit(State(service): Shared, body: Bytes) -> (StatusCode, Vec<u8>) {
+async fn commit(State(service): Shared, body: Bytes) -> Reply {
     let Ok(transaction) = decode(&body) else {
         return (StatusCode::BAD_REQUEST, Vec::new());
     };
-    match service.records().commit(transaction) {
-        Err(failed) => (
-            StatusCode::CONFLICT,
-            encode(&wire::Conflict {
-                failed_keys: failed,
-            }),
-        ),
-        Ok(revision) => {
-            service.changed.notify_waiters();
-            (StatusCode::OK, encode(&wire::Revision { revision }))
-        }
+    let reply = service.records().commit(transaction);
+    if reply.0 == StatusCode::OK {
+        service.changed.notify_waiters();
     }
+    reply
 }
 
 async fn new_lease(State(service): Shared) -> Vec<u8> {
     encode(&service.records().new_lease())
 }
 
-#[derive(Deserialize)]
-struct WatchQuery {
-    under: String,
-    after: u64,
-    block_ms: u64,
-}
-
 async fn changes(State(service): Shared, Query(query): Query<WatchQuery>) -> Vec<u8> {
     let find = || service.records().changes_after(&query.under, query.after);
     let deadline = tokio::time::Instant::now() + Duration::from_millis(query.block_ms);
--- a/tests/dependencies_http/user.rs
+++ b/tests/dependencies_http/user.rs
@@ -1,6 +1,6 @@
 //! A user of a node, and the bodies that it sends.
 
-use crate::support::{StateService, TIMEOUT, map, ready_node_where};
+use crate::support::{StateService, TIMEOUT, map, ready_node_where, submission_fields};
 use hyper::Method;
 use rmpv::Value;
 use std::net::SocketAddr;
@@ -85,26 +85,9 @@
 /// A submission for the team that depends on other jobs.
 pub(crate) fn submission(id: &str, team: &str, dependencies: &[&str]) -> Vec<u8> {
     let dependencies = dependencies.iter().map(|id| Value::from(*id));
-    encode(&map(vec![
-        ("uid", id.into()),
-        ("docket", "train".into()),
-        ("crew", team.into()),
-        ("form", "array".into()),
-        ("precedence", "normal".into()),
-        ("pieces", 3.into()),
-        ("vcpus", 4.into()),
-        ("gpus", 1.into()),
-        ("memory_gb", 8.into()),
-        ("plate", "img-1".into()),
-        ("image_gb", 1.5.into()),
-        ("together", false.into()),
-        ("scatter", false.into()),
-        ("loaners", false.into()),
-        ("expected_s", 30.into()),
-        ("bookmark_s", 0.into()),
-        ("bookmark_cost_s", 0.into()),
-        ("awaits", Value::Array(dependencies.collect())),
-    ]))
+    let mut fields = submission_fields(id, team);
+    fields.push(("awaits", Value::Array(dependencies.collect())));
+    encode(&map(fields))
 }
 
 /// A reply that a test expects.
--- a/tests/http/client.rs
+++ b/tests/http/client.rs
@@ -1,6 +1,6 @@
 //! A client, and the bodies that it sends.
 
-use crate::support::{StateService, ready_node_where};
+use crate::support::{StateService, ready_node_where, submission_fields};
 use hyper::Method;
 use rmpv::Value;
 use std::net::SocketAddr;
@@ -103,31 +103,11 @@
 
 /// A submission with changed fields.
 pub(crate) fn submission(change: impl Fn(&mut Vec<(Value, Value)>)) -> Vec<u8> {
-    let fields: Vec<(&str, Value)> = vec![
-        ("uid", "run-000412".into()),
-        ("docket", "train".into()),
-        ("crew", "vision".into()),
-        ("form", "array".into()),
-        ("precedence", "normal".into()),
-        ("pieces", 3.into()),
-        ("vcpus", Value::from(4.0)),
-        ("gpus", 1.into()),
-        ("memory_gb", 8.into()),
-        ("plate", "img-1".into()),
-        ("image_gb", Value::from(1.5)),
-        ("models", Value::Nil),
-        ("together", false.into()),
-        ("scatter", false.into()),
-        ("loaners", false.into()),
-        ("expected_s", 30.into()),
-        ("bookmark_s", 0.into()),
-        ("bookmark_cost_s", 0.into()),
-        ("a_new_field", "is ignored".into()),
-    ];
-    let mut fields = fields
-        .into_iter()
-        .map(|(key, value)| (Value::from(key), value))
-        .collect();
+    let mut fields = submission_fields("run-000412", "vision");
+    fields.push(("models", Value::Nil));
+    fields.push(("a_new_field", "is ignored".into()));
+    let fields = fields.into_iter();
+    let mut fields = fields.map(|(key, value)| (key.into(), value)).collect();
     change(&mut fields);
     rmp_serde::to_vec(&Value::Map(fields)).unwrap()
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -30,6 +30,29 @@
     Value::Map(fields.collect())
 }
 
+/// The fields of a submission, without those that may be left out.
+pub(crate) fn submission_fields(id: &str, team: &str) -> Vec<(&'static str, Value)> {
+    vec![
+        ("uid", id.into()),
+        ("docket", "train".into()),
+        ("crew", team.into()),
+        ("form", "array".into()),
+        ("precedence", "normal".into()),
+        ("pieces", 3.into()),
+        ("vcpus", 4.0.into()),
+        ("gpus", 1.into()),
+        ("memory_gb", 8.into()),
+        ("plate", "img-1".into()),
+        ("image_gb", 1.5.into()),
+        ("together", false.into()),
+        ("scatter", false.into()),
+        ("loaners", false.into()),
+        ("expected_s", 30.into()),
+        ("bookmark_s", 0.into()),
+        ("bookmark_cost_s", 0.into()),
+    ]
+}
+
 /// Serves the routes on a loopback port of their own.
 async fn serve(router: Router) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -1,13 +1,34 @@
-//! What a state service written from the protocol holds: keys, conditional commits and changes. The
-//! tests over HTTP and the load (`benches/load`) share it.
+//! What a state service written from the protocol holds, and how it replies: keys, conditional commits
+//! and changes. The tests over HTTP and the load (`benches/load`) share it.
 
+use axum::http::StatusCode;
 use rmpv::Value;
+use serde::Deserialize;
 use std::collections::{BTreeMap, VecDeque};
-use umbervale::wire::store as wire;
+use umbervale::wire::{encode, store as wire};
 
 /// Changes that are kept for watches, as the protocol says.
 const CHANGES_KEPT: usize = 10_000;
 
+/// A status and a body.
+pub(crate) type Reply = (StatusCode, Vec<u8>);
+
+/// The query of a listing.
+#[derive(Deserialize)]
+pub(crate) struct ListQuery {
+    under: String,
+    after: Option<String>,
+    page: usize,
+}
+
+/// The query of a watch.
+#[derive(Deserialize)]
+pub(crate) struct WatchQuery {
+    pub(crate) under: String,
+    pub(crate) after: u64,
+    pub(crate) block_ms: u64,
+}
+
 /// A value with its version.
 struct StoredValue {
     value: Value,
@@ -34,11 +55,6 @@
         self.values.get(key).map_or(0, |stored| stored.version)
     }
 
-    /// The revision of the last change.
-    pub(crate) fn revision(&self) -> u64 {
-        self.revision
-    }
-
     /// Writes a value without a change for watches; its version.
     #[allow(dead_code, reason = "only the tests over HTTP use it")]
     pub(crate) fn put_without_change(&mut self, key: &str, value: Value) -> u64 {
@@ -70,8 +86,20 @@
         })
     }
 
+    /// The reply to a read of a key.
+    pub(crate) fn read(&self, key: &str) -> Reply {
+        match self.item(key) {
+            Some(item) => (StatusCode::OK, encode(&item)),
+            None => {
+                let revision = self.revision;
+                (StatusCode::NOT_FOUND, encode(&wire::Revision { revision }))
+            }
+        }
+    }
+
     /// A page of the keys with a prefix, after that key if one is given.
-    pub(crate) fn list(&self, under: &str, after: Option<&str>, page: usize) -> wire::Listing {
+    pub(crate) fn list(&self, query: &ListQuery) -> wire::Listing {
+        let (under, after) = (&*query.under, query.after.as_deref());
         let from = after.unwrap_or(under);
         let mut keys = self
             .values
@@ -79,7 +107,7 @@
             .map(|(key, _)| key)
             .take_while(|key| key.starts_with(under))
             .filter(|key| after != Some(key));
-        let items = keys.by_ref().take(page);
+        let items = keys.by_ref().take(query.page);
         let items = items.filter_map(|key| self.item(key)).collect();
         wire::Listing {
             items,
@@ -88,20 +116,24 @@
         }
     }
 
-    /// Executes a transaction: the new revision, or the keys whose comparison fails.
-    pub(crate) fn commit(&mut self, transaction: wire::Transaction) -> Result<u64, Vec<String>> {
+    /// Executes a transaction, and replies with the new revision or the keys whose comparison fails.
+    pub(crate) fn commit(&mut self, transaction: wire::Transaction) -> Reply {
         let failed = transaction.comparisons.iter();
         let failed =
             failed.filter(|comparison| self.version(&comparison.key) != comparison.version);
-        let failed: Vec<String> = failed.map(|comparison| comparison.key.clone()).collect();
-        if !failed.is_empty() {
-            return Err(failed);
+        let failed_keys: Vec<String> = failed.map(|comparison| comparison.key.clone()).collect();
+        if !failed_keys.is_empty() {
+            return (
+                StatusCode::CONFLICT,
+                encode(&wire::Conflict { failed_keys }),
+            );
         }
         self.revision += 1;
         for mutation in transaction.mutations {
             self.apply(mutation);
         }
-        Ok(self.revision)
+        let revision = self.revision;
+        (StatusCode::OK, encode(&wire::Revision { revision }))
     }
 
     fn apply(&mut self, mutation: wire::Mutation) {
--- a/tests/support/state_service.rs
+++ b/tests/support/state_service.rs
@@ -1,14 +1,13 @@
 //! A state service written from the protocol, with the faults that tests inject.
 
 use super::map;
-use super::records::Records;
+use super::records::{ListQuery, Records, Reply, WatchQuery};
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{Path, Query, State};
 use axum::http::StatusCode;
 use axum::routing::{get, post};
 use rmpv::Value;
-use serde::Deserialize;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -81,7 +80,7 @@
     }
 }
 
-async fn read_one(State(service): Shared, Path(key): Path<String>) -> (StatusCode, Vec<u8>) {
+async fn read_one(State(service): Shared, Path(key): Path<String>) -> Reply {
     if service.stalled.load(Ordering::Relaxed) {
         return std::future::pending().await;
     }
@@ -91,45 +90,23 @@
     if service.ends.load(Ordering::Relaxed) {
         service.end_job_under(&key);
     }
-    let records = service.records.lock().unwrap();
-    match records.item(&key) {
-        Some(item) => (StatusCode::OK, encode(&item)),
-        None => {
-            let revision = records.revision();
-            (StatusCode::NOT_FOUND, encode(&wire::Revision { revision }))
-        }
-    }
-}
-
-#[derive(Deserialize)]
-struct ListQuery {
-    under: String,
-    after: Option<String>,
-    page: usize,
+    service.records.lock().unwrap().read(&key)
 }
 
 async fn list(State(service): Shared, Query(query): Query<ListQuery>) -> Vec<u8> {
-    let records = service.records.lock().unwrap();
-    encode(&records.list(&query.under, query.after.as_deref(), query.page))
+    encode(&service.records.lock().unwrap().list(&query))
 }
 
-async fn commit(State(service): Shared, body: Bytes) -> (StatusCode, Vec<u8>) {
+async fn commit(State(service): Shared, body: Bytes) -> Reply {
     if service.down.load(Ordering::Relaxed) {
         return (StatusCode::SERVICE_UNAVAILABLE, Vec::new());
     }
     let transaction = decode(&body).unwrap();
-    match service.records.lock().unwrap().commit(transaction) {
-        Err(failed) => (
-            StatusCode::CONFLICT,
-            encode(&wire::Conflict {
-                failed_keys: failed,
-            }),
-        ),
-        Ok(revision) => {
-            service.changed.notify_waiters();
-            (StatusCode::OK, encode(&wire::Revision { revision }))
-        }
+    let reply = service.records.lock().unwrap().commit(transaction);
+    if reply.0 == StatusCode::OK {
+        service.changed.notify_waiters();
     }
+    reply
 }
 
 async fn new_lease(State(service): Shared) -> Vec<u8> {
@@ -140,13 +117,6 @@
     StatusCode::OK
 }
 
-#[derive(Deserialize)]
-struct WatchQuery {
-    under: String,
-    after: u64,
-    block_ms: u64,
-}
-
 async fn changes(State(service): Shared, Query(query): Query<WatchQuery>) -> Vec<u8> {
     let wait = Duration::from_millis(query.block_ms);
     let changed = service.changed.notified();
