--- a/src/api/handlers.rs
+++ b/src/api/handlers.rs
@@ -57,7 +57,7 @@
         Err(error) => return refuse(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     let command = |reply| Command::Heartbeat { heartbeat, reply };
-    match api.commands.ask(command).await {
+    match api.commands.request(command).await {
         Some(Reply::HeartbeatAccepted(commands)) => respond(StatusCode::OK, &commands),
         Some(Reply::RedirectToLeader(leader)) => {
             respond(StatusCode::MISDIRECTED_REQUEST, &LeaderRedirect { leader })
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::constants;
 use crate::engine::EngineStatus;
-use crate::engine_queue::Commands;
+use crate::engine_queue::CommandSender;
 use crate::peer::Link;
 use crate::settings::Settings;
 use crate::store::{StoreClient, StoreError};
@@ -45,7 +45,7 @@
 pub struct Api {
     settings: Arc<Settings>,
     store: Arc<StoreClient>,
-    commands: Commands,
+    commands: CommandSender,
     engine_status: watch::Receiver<EngineStatus>,
     peers: Arc<Vec<Link>>,
     final_states: FinalStateCache,
@@ -63,7 +63,7 @@
     pub fn new(
         settings: Arc<Settings>,
         store: Arc<StoreClient>,
-        commands: Commands,
+        commands: CommandSender,
         engine_status: watch::Receiver<EngineStatus>,
         peers: Arc<Vec<Link>>,
     ) -> Arc<Self> {
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -89,7 +89,7 @@
             job: id.into(),
             reply,
         };
-        match self.commands.ask(query).await {
+        match self.commands.request(query).await {
             Some(Reply::BlockedJobState(Some(state))) => {
                 if state == JobState::Cancelled {
                     self.final_states.insert(id, FinalState::cancelled(tasks));
@@ -134,7 +134,7 @@
             job: JobId::from(id),
             reply,
         };
-        match self.commands.ask(query).await {
+        match self.commands.request(query).await {
             Some(Reply::TaskCounts { completed, running }) => {
                 Some(TaskCounts { completed, running })
             }
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -130,7 +130,7 @@
             jobs: dependencies.clone(),
             reply,
         };
-        let unknown = match self.commands.ask(query).await {
+        let unknown = match self.commands.request(query).await {
             Some(Reply::UnknownJobs(unknown)) => unknown,
             _ => dependencies.clone(),
         };
--- a/src/engine/authority.rs
+++ b/src/engine/authority.rs
@@ -19,7 +19,7 @@
         let ttl = less_drift(constants::LEASE_TTL);
         let leader = self.leadership.leader();
         leader.is_some_and(|leader| leader.lease.was_renewed_within(ttl, now))
-            && self.live.is_known_within(ttl, now)
+            && self.live.is_current_within(ttl, now)
     }
 
     /// Whether this node may still respond to heartbeats as a leader, which renews workers'
@@ -30,7 +30,7 @@
         let grace = self.leader_grace();
         let leader = self.leadership.leader();
         leader.is_some_and(|leader| leader.lease.was_renewed_within(grace, now))
-            && self.live.is_known_within(grace, now)
+            && self.live.is_current_within(grace, now)
     }
 
     /// How long after its last contact with the state service a leader still responds to
@@ -55,7 +55,7 @@
         let own_node = &self.context.settings().node;
         let leader = self.leadership.other_leader(own_node)?;
         let grace = self.context.timing().leader_grace;
-        let informed = self.live.is_known_within(grace, now);
-        (informed && !self.peers.hears(&leader.node, now)).then_some(leader)
+        let informed = self.live.is_current_within(grace, now);
+        (informed && !self.peers.is_reachable(&leader.node, now)).then_some(leader)
     }
 }
--- a/src/engine/autoscaling/housekeeping.rs
+++ b/src/engine/autoscaling/housekeeping.rs
@@ -64,7 +64,7 @@
             return;
         };
         for zone in &self.context.settings().cluster.zones {
-            if self.peers.is_cut_off_from(zone, now) {
+            if self.peers.is_zone_unreachable(zone, now) {
                 let zones = &mut leader.autoscaling.cut_off_zones;
                 zones.insert(zone.as_str().into(), now);
             }
--- a/src/engine/autoscaling/machine_list.rs
+++ b/src/engine/autoscaling/machine_list.rs
@@ -42,7 +42,7 @@
     }
 
     fn on_read_failed(&mut self, context: &mut Context) {
-        self.retry.failed(context);
+        self.retry.record_failure(context);
     }
 
     /// A page was read; false if the list is given up, and read again some seconds later.
@@ -54,7 +54,8 @@
             );
             self.cursor = None;
             self.pages = 0;
-            self.retry.succeeded(now + constants::MACHINE_LIST_INTERVAL);
+            self.retry
+                .record_success(now + constants::MACHINE_LIST_INTERVAL);
             return false;
         }
         let last = page.machines.last().filter(|_| page.has_more);
@@ -71,7 +72,7 @@
                 constants::MACHINE_LIST_INTERVAL
             }
         };
-        self.retry.succeeded(now + pause);
+        self.retry.record_success(now + pause);
         true
     }
 
--- a/src/engine/autoscaling/scale_in.rs
+++ b/src/engine/autoscaling/scale_in.rs
@@ -48,9 +48,9 @@
         let returns = &mut leader.autoscaling.returns;
         if let Err(error) = result {
             tracing::info!(%error, "return failed");
-            return returns.failed(&mut self.context);
+            return returns.record_failure(&mut self.context);
         }
-        returns.succeeded(self.context.now());
+        returns.record_success(self.context.now());
         leader.scheduling.request();
         let mut lost_tasks = Vec::new();
         for id in machines {
@@ -63,7 +63,7 @@
                 });
                 lost_tasks.extend(machine.tasks);
             }
-            leader.remember_returned(id);
+            leader.record_returned(id);
         }
         for task in lost_tasks {
             tracing::info!(%task, "task lost with its machine");
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -207,13 +207,13 @@
 
     /// The transaction in flight is durable.
     pub(super) fn on_committed(&mut self, now: Timestamp) {
-        self.retry.succeeded(now);
+        self.retry.record_success(now);
     }
 
     /// The transaction in flight is not durable, or not known to be: everything in it is written
     /// again.
     pub(super) fn on_failed(&mut self, batch: CompletionBatch, context: &mut Context) {
-        self.retry.failed(context);
+        self.retry.record_failure(context);
         let finished = batch.finished.into_iter();
         self.finished.extend(finished.map(|finished| finished.job));
         let progress = batch.progress.into_iter();
--- a/src/engine/dependencies.rs
+++ b/src/engine/dependencies.rs
@@ -226,7 +226,7 @@
                 self.record_final_state(id, state);
             }
             // Its live record is on its way here, or the state service can't be asked.
-            (None, Some(read)) => read.failed(context),
+            (None, Some(read)) => read.record_failure(context),
             (None, None) => {}
         }
     }
--- a/src/engine/dependency_steps.rs
+++ b/src/engine/dependency_steps.rs
@@ -108,7 +108,7 @@
         self.queries.end_refresh();
         // If the records are being listed again, or were, the changes may leave a gap after what
         // is known.
-        let follows = self.live.knows_revision(after);
+        let follows = self.live.has_applied_revision(after);
         match result {
             Ok(StoreReply::Changes(changes)) if follows => {
                 self.apply_changes(sent_at, changes);
--- a/src/engine/leader.rs
+++ b/src/engine/leader.rs
@@ -83,7 +83,7 @@
     }
 
     /// The cloud has taken the machine back.
-    pub(super) fn remember_returned(&mut self, machine: MachineId) {
+    pub(super) fn record_returned(&mut self, machine: MachineId) {
         self.returned_machines.insert(machine, ());
     }
 }
--- a/src/engine/leader/tests.rs
+++ b/src/engine/leader/tests.rs
@@ -48,7 +48,7 @@
     let mut leader = leader();
     let machine = MachineId::from("host-1");
     assert!(!leader.was_returned(&machine));
-    leader.remember_returned(machine.clone());
+    leader.record_returned(machine.clone());
     assert!(leader.was_returned(&machine));
 }
 
--- a/src/engine/leadership.rs
+++ b/src/engine/leadership.rs
@@ -211,13 +211,13 @@
         if matches!(self.role, Role::Candidate(_)) {
             self.role = Role::Follower;
         }
-        self.campaign.failed(context);
+        self.campaign.record_failure(context);
         lease
     }
 
     /// This node has been elected.
     pub(super) fn become_leader(&mut self, node: String, leader: Leader, now: Timestamp) {
-        self.campaign.succeeded(now);
+        self.campaign.record_success(now);
         self.observed_leader = Some(ObservedLeader {
             node,
             term: leader.term(),
@@ -231,7 +231,7 @@
     pub(super) fn resign(&mut self, context: &mut Context) -> Option<Box<Leader>> {
         match std::mem::take(&mut self.role) {
             Role::Leader(leader) => {
-                self.campaign.failed(context);
+                self.campaign.record_failure(context);
                 Some(leader)
             }
             other => {
--- a/src/engine/live_records.rs
+++ b/src/engine/live_records.rs
@@ -32,7 +32,7 @@
         let mut names_leader = false;
         for item in page.items {
             names_leader |= item.key == LEADER_KEY;
-            self.live.note_listed(&item.key);
+            self.live.record_listed_key(&item.key);
             self.on_live_record_put(&item.key, item.value, item.version);
         }
         // Jobs' keys sort before the leader's, which therefore is on the last page.
@@ -85,8 +85,8 @@
     /// Applies all changes up to a revision. A response that another one has overtaken tells
     /// nothing new, and what it tells may be out of date.
     pub(super) fn apply_changes(&mut self, sent_at: Timestamp, changes: Changes) {
-        self.live.note_contact(sent_at);
-        if self.live.knows_revision(changes.revision) {
+        self.live.record_contact(sent_at);
+        if self.live.has_applied_revision(changes.revision) {
             return;
         }
         for event in changes.events {
@@ -191,7 +191,7 @@
         job.phase = JobPhase::Cancelled;
         job.stop_all_tasks(0, self.context.now());
         self.dependencies.request_evaluation();
-        self.send_stops(id);
+        self.send_stop_commands(id);
         self.finish_job_if_over(id);
     }
 
--- a/src/engine/live_view.rs
+++ b/src/engine/live_view.rs
@@ -54,22 +54,22 @@
 
     /// A call has failed; it is repeated after a pause.
     pub(super) fn on_call_failed(&mut self, context: &mut Context) {
-        self.watch.failed(context);
+        self.watch.record_failure(context);
     }
 
     /// A watch was answered.
     pub(super) fn on_watch_answered(&mut self, now: Timestamp) {
-        self.watch.succeeded(now);
+        self.watch.record_success(now);
     }
 
     /// Changes were missed: the records have to be listed again.
     pub(super) fn restart_listing(&mut self, now: Timestamp) {
         self.revision = None;
-        self.watch.succeeded(now);
+        self.watch.record_success(now);
     }
 
     /// The listing in progress names this key.
-    pub(super) fn note_listed(&mut self, key: &str) {
+    pub(super) fn record_listed_key(&mut self, key: &str) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             self.listed.insert(id.into());
         }
@@ -89,7 +89,7 @@
             id.is_some_and(|id| listed.contains(&id.into()))
         });
         self.revision = Some(first_revision);
-        self.watch.succeeded(now);
+        self.watch.record_success(now);
     }
 
     /// Revision up to which the records are known.
@@ -103,12 +103,12 @@
     }
 
     /// Whether all changes up to that revision are known.
-    pub(super) fn knows_revision(&self, revision: u64) -> bool {
+    pub(super) fn has_applied_revision(&self, revision: u64) -> bool {
         self.revision.is_some_and(|known| known >= revision)
     }
 
     /// A watch that was sent then has been answered.
-    pub(super) fn note_contact(&mut self, sent_at: Timestamp) {
+    pub(super) fn record_contact(&mut self, sent_at: Timestamp) {
         self.fresh_at = self.fresh_at.max(Some(sent_at));
     }
 
@@ -125,7 +125,7 @@
     }
 
     /// Whether all changes are known up to some instant less than `duration` ago.
-    pub(super) fn is_known_within(&self, duration: Duration, now: Timestamp) -> bool {
+    pub(super) fn is_current_within(&self, duration: Duration, now: Timestamp) -> bool {
         self.fresh_at
             .is_some_and(|fresh_at| now < fresh_at + duration)
     }
--- a/src/engine/live_view/tests.rs
+++ b/src/engine/live_view/tests.rs
@@ -14,16 +14,16 @@
     let call = live.next_call(instant(0));
     assert!(matches!(call, Some((_, StoreCall::List { .. }))));
     assert!(live.next_call(instant(0)).is_none(), "one is in flight");
-    live.note_listed("live/job/run-1");
+    live.record_listed_key("live/job/run-1");
     assert!(live.has_listed(&"run-1".into()));
     live.finish_listing(7, instant(5));
-    assert!(live.is_listed() && live.knows_revision(7) && !live.knows_revision(8));
+    assert!(live.is_listed() && live.has_applied_revision(7) && !live.has_applied_revision(8));
     // Nothing fresh is known yet: the first response counts.
     assert_eq!(
         revision_watched(live.next_call(instant(5))),
         Some((7, Duration::ZERO))
     );
-    live.note_contact(instant(5));
+    live.record_contact(instant(5));
     live.on_watch_answered(instant(6));
     let wait = constants::WATCH_TIMEOUT;
     assert_eq!(
@@ -46,11 +46,11 @@
 fn what_is_known_ages() {
     let mut live = LiveView::default();
     assert!(!live.is_fresh(instant(0)));
-    live.note_contact(instant(1_000));
-    live.note_contact(instant(500));
+    live.record_contact(instant(1_000));
+    live.record_contact(instant(500));
     let second = Duration::from_secs(1);
-    assert!(live.is_known_within(second, instant(1_999)));
-    assert!(!live.is_known_within(second, instant(2_000)));
+    assert!(live.is_current_within(second, instant(1_999)));
+    assert!(!live.is_current_within(second, instant(2_000)));
     assert!(live.is_fresh(instant(3_999)) && !live.is_fresh(instant(4_000)));
 }
 
@@ -60,7 +60,7 @@
     assert!(live.mark_unreadable("live/job/run-1"));
     assert!(!live.mark_unreadable("live/job/run-1"), "no news");
     assert!(live.mark_unreadable("live/job/run-2"));
-    live.note_listed("live/job/run-2");
+    live.record_listed_key("live/job/run-2");
     live.finish_listing(7, instant(0));
     assert!(!live.is_unreadable("live/job/run-1") && live.is_unreadable("live/job/run-2"));
     live.clear_unreadable("live/job/run-2");
--- a/src/engine/machine_types.rs
+++ b/src/engine/machine_types.rs
@@ -52,13 +52,13 @@
                 let by_name = types.map(|machine_type| (machine_type.name.clone(), machine_type));
                 self.types = Some(Arc::new(by_name.collect()));
                 self.retry
-                    .succeeded(context.now() + constants::MACHINE_TYPES_INTERVAL);
+                    .record_success(context.now() + constants::MACHINE_TYPES_INTERVAL);
             }
             other => {
                 if let Err(error) = other {
                     tracing::debug!(%error, "reading machine types failed");
                 }
-                self.retry.failed(context);
+                self.retry.record_failure(context);
             }
         }
     }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -115,7 +115,7 @@
         for command in batch {
             self.on_command(command);
         }
-        self.on_time();
+        self.run_due_steps();
         self.respond_to_pending_heartbeats();
         self.outbox.take_effects()
     }
@@ -220,7 +220,7 @@
     }
 
     /// What is due by now.
-    fn on_time(&mut self) {
+    fn run_due_steps(&mut self) {
         self.read_machine_types_when_due();
         self.follow_live_records();
         self.advance_dependencies();
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether that peer was heard of lately.
-    pub(super) fn hears(&self, node: &str, now: Timestamp) -> bool {
+    pub(super) fn is_reachable(&self, node: &str, now: Timestamp) -> bool {
         self.observations
             .get(node)
             .is_some_and(|observation| observation.is_recent(now))
@@ -58,15 +58,15 @@
 
     /// Whether there are peers and none of them can be heard.
     pub(super) fn is_isolated(&self, now: Timestamp) -> bool {
-        let hears = |peer: &Peer| self.hears(&peer.node, now);
-        !self.configured.is_empty() && !self.configured.iter().any(hears)
+        let is_reachable = |peer: &Peer| self.is_reachable(&peer.node, now);
+        !self.configured.is_empty() && !self.configured.iter().any(is_reachable)
     }
 
     /// Whether that zone has peers and none of them can be heard.
-    pub(super) fn is_cut_off_from(&self, zone: &str, now: Timestamp) -> bool {
+    pub(super) fn is_zone_unreachable(&self, zone: &str, now: Timestamp) -> bool {
         let in_zone = |peer: &&Peer| peer.zone == zone;
         let mut peers = self.configured.iter().filter(in_zone).peekable();
-        peers.peek().is_some() && !peers.any(|peer| self.hears(&peer.node, now))
+        peers.peek().is_some() && !peers.any(|peer| self.is_reachable(&peer.node, now))
     }
 }
 
--- a/src/engine/peers/tests.rs
+++ b/src/engine/peers/tests.rs
@@ -13,13 +13,13 @@
 fn a_peer_is_heard_until_it_has_been_silent_for_too_long() {
     let mut peers = PeerHealth::new(context_at(0).settings().peers.clone());
     let now = instant(60_000);
-    assert!(peers.is_isolated(now) && peers.is_cut_off_from("west", now));
+    assert!(peers.is_isolated(now) && peers.is_zone_unreachable("west", now));
     peers.record(&announcement("n1", true), now);
-    assert!(peers.hears("n1", now) && peers.any_reaches_store(now));
-    assert!(!peers.is_isolated(now) && !peers.is_cut_off_from("west", now));
-    assert!(!peers.is_cut_off_from("east", now), "no peer is there");
+    assert!(peers.is_reachable("n1", now) && peers.any_reaches_store(now));
+    assert!(!peers.is_isolated(now) && !peers.is_zone_unreachable("west", now));
+    assert!(!peers.is_zone_unreachable("east", now), "no peer is there");
     let later = now + constants::PEER_SILENCE_TIMEOUT;
-    assert!(!peers.hears("n1", later) && !peers.any_reaches_store(later));
+    assert!(!peers.is_reachable("n1", later) && !peers.any_reaches_store(later));
     assert!(peers.is_isolated(later));
 }
 
@@ -27,7 +27,7 @@
 fn announcements_of_others_than_peers_are_ignored() {
     let mut peers = PeerHealth::new(context_at(0).settings().peers.clone());
     peers.record(&announcement("n9", true), instant(0));
-    assert!(!peers.hears("n9", instant(0)));
+    assert!(!peers.is_reachable("n9", instant(0)));
     assert!(peers.is_isolated(instant(0)));
 }
 
@@ -35,6 +35,6 @@
 fn a_peer_without_the_state_service_does_not_reach_it() {
     let mut peers = PeerHealth::new(context_at(0).settings().peers.clone());
     peers.record(&announcement("n1", false), instant(0));
-    assert!(peers.hears("n1", instant(0)));
+    assert!(peers.is_reachable("n1", instant(0)));
     assert!(!peers.any_reaches_store(instant(0)));
 }
--- a/src/engine/recovery.rs
+++ b/src/engine/recovery.rs
@@ -60,12 +60,12 @@
 
     /// The read failed; it is repeated after a pause.
     fn on_read_failed(&mut self, context: &mut Context) {
-        self.retry.failed(context);
+        self.retry.record_failure(context);
     }
 
     /// A page was read that ends with that key if more follow. Returns the stage that it belongs to.
     fn on_page_read(&mut self, next: Option<String>, now: Timestamp) -> PageRead {
-        self.retry.succeeded(now);
+        self.retry.record_success(now);
         let stage = self.stage;
         let more_pages = next.is_some();
         self.after = next;
@@ -97,7 +97,7 @@
         let Some(leader) = self.leadership.leader_mut() else {
             return;
         };
-        let live_known = self.live.knows_revision(leader.version());
+        let live_known = self.live.has_applied_revision(leader.version());
         let Some(recovery) = &mut leader.recovery else {
             return;
         };
--- a/src/engine/retry.rs
+++ b/src/engine/retry.rs
@@ -32,7 +32,7 @@
     }
 
     /// The call succeeded; the next one is due at `next_at`.
-    pub(super) fn succeeded(&mut self, next_at: Timestamp) {
+    pub(super) fn record_success(&mut self, next_at: Timestamp) {
         *self = Retry {
             next_at,
             pause: Duration::ZERO,
@@ -41,7 +41,7 @@
     }
 
     /// The call failed: it is repeated after a pause twice as long as the last one.
-    pub(super) fn failed(&mut self, context: &mut Context) {
+    pub(super) fn record_failure(&mut self, context: &mut Context) {
         self.in_flight = false;
         self.pause =
             (self.pause * 2).clamp(constants::RETRY_INITIAL_PAUSE, constants::RETRY_MAX_PAUSE);
--- a/src/engine/retry/tests.rs
+++ b/src/engine/retry/tests.rs
@@ -8,7 +8,7 @@
     for failures in 1..10 {
         retry.begin();
         assert!(!retry.is_due(context.now()));
-        retry.failed(&mut context);
+        retry.record_failure(&mut context);
         let longest = constants::RETRY_INITIAL_PAUSE * (1 << (failures - 1));
         let longest = longest.min(constants::RETRY_MAX_PAUSE);
         assert!(!retry.is_due(context.now()));
@@ -16,7 +16,7 @@
     }
     retry.begin();
     assert!(retry.is_in_flight());
-    retry.succeeded(context.now());
+    retry.record_success(context.now());
     assert!(retry.is_due(context.now()));
 }
 
--- a/src/engine/rounds/orphans.rs
+++ b/src/engine/rounds/orphans.rs
@@ -48,11 +48,11 @@
     }
 
     fn on_read_failed(&mut self, context: &mut Context) {
-        self.retry.failed(context);
+        self.retry.record_failure(context);
     }
 
     fn on_page_read(&mut self, page: &Listing, now: Timestamp) {
-        self.retry.succeeded(now);
+        self.retry.record_success(now);
         self.after = page.items.last().map(|item| item.key.clone());
         if !page.has_more || self.after.is_none() {
             self.finish();
--- a/src/engine/rounds/writing.rs
+++ b/src/engine/rounds/writing.rs
@@ -79,7 +79,7 @@
     /// records were removed.
     fn on_outcome_unknown(&mut self, number: u64, context: &mut Context) {
         if let Some(write) = self.writing.get_mut(&number) {
-            write.retry.failed(context);
+            write.retry.record_failure(context);
         }
         self.orphans.expect_late_write(context.now());
     }
--- a/src/engine/stopping.rs
+++ b/src/engine/stopping.rs
@@ -20,7 +20,7 @@
         } else if let Some(placement) = job.placements.get_mut(&task.index) {
             placement.request_stop(grace_s, now);
         }
-        self.send_stops(&task.job);
+        self.send_stop_commands(&task.job);
     }
 
     /// One task of a gang gone, all go: the others are told at once, whatever they have noticed
@@ -34,12 +34,12 @@
         if job.is_gang() && job.is_open() && job.placements.values().any(runs_on) {
             tracing::info!(job = %id, "gang lost a task, stopping the rest");
             job.stop_all_tasks(job.spec.checkpoint_grace_s(), now);
-            self.send_stops(id);
+            self.send_stop_commands(id);
         }
     }
 
     /// Sends a job's stops directly, without waiting for the machines' heartbeats.
-    pub(super) fn send_stops(&mut self, id: &JobId) {
+    pub(super) fn send_stop_commands(&mut self, id: &JobId) {
         let Some(leader) = self.leadership.leader_mut() else {
             return;
         };
--- a/src/engine_queue.rs
+++ b/src/engine_queue.rs
@@ -1,7 +1,7 @@
 //! The bounded queue of commands for the engine, and the handle that sends to it.
 //!
 //! The engine has one owner, the node's driver, which alone receives from the queue. Whoever else
-//! has something for the engine holds a [`Commands`] handle.
+//! has something for the engine holds a [`CommandSender`] handle.
 
 use crate::constants;
 use crate::engine::{Command, Reply, ReplyId};
@@ -29,18 +29,18 @@
 
 /// Sends commands to the engine.
 #[derive(Clone, Debug)]
-pub struct Commands {
+pub struct CommandSender {
     queue: mpsc::Sender<QueuedCommand>,
     next_reply_id: Arc<AtomicU64>,
 }
 
-impl Commands {
+impl CommandSender {
     /// A handle and the queue's receiving end. The queue has room for one request of each of
     /// `connections`, and for [`constants::ENGINE_QUEUE_COMMANDS`] more.
     pub(crate) fn new(connections: usize) -> (Self, mpsc::Receiver<QueuedCommand>) {
         let capacity = connections + constants::ENGINE_QUEUE_COMMANDS;
         let (queue, receiver) = mpsc::channel(capacity);
-        let commands = Commands {
+        let commands = CommandSender {
             queue,
             next_reply_id: Arc::new(AtomicU64::new(0)),
         };
@@ -48,7 +48,7 @@
     }
 
     /// Sends a command and waits for its reply; `None` if the queue is full or the engine is gone.
-    pub async fn ask(&self, command: impl FnOnce(ReplyId) -> Command) -> Option<Reply> {
+    pub async fn request(&self, command: impl FnOnce(ReplyId) -> Command) -> Option<Reply> {
         let id = self.next_reply_id.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         let queued = QueuedCommand {
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -4,7 +4,7 @@
 use crate::cloud::{CloudCall, CloudClient};
 use crate::constants;
 use crate::engine::{CallId, Command, Effect, Engine, EngineStatus, Reply, ReplyId};
-use crate::engine_queue::{Commands, QueuedCommand};
+use crate::engine_queue::{CommandSender, QueuedCommand};
 use crate::store::{CallPriority, StoreCall, StoreClient};
 use crate::workers::WorkerClient;
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
     store: Arc<StoreClient>,
     cloud: Arc<CloudClient>,
     workers: WorkerClient,
-    commands: Commands,
+    commands: CommandSender,
 }
 
 impl Driver {
@@ -30,7 +30,7 @@
         store: Arc<StoreClient>,
         cloud: Arc<CloudClient>,
         workers: WorkerClient,
-        commands: Commands,
+        commands: CommandSender,
     ) -> Self {
         Driver {
             store,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -9,7 +9,7 @@
 use crate::api::{self, Api, Connections};
 use crate::cloud::CloudClient;
 use crate::engine::{Engine, EngineStatus};
-use crate::engine_queue::Commands;
+use crate::engine_queue::CommandSender;
 use crate::http::HttpClient;
 use crate::peer::Link;
 use crate::settings::Settings;
@@ -67,7 +67,7 @@
         let http = HttpClient::default();
         let store = Arc::new(StoreClient::new(http.clone(), &settings));
         let cloud = Arc::new(CloudClient::new(http, &settings));
-        let (commands, inputs) = Commands::new(settings.front_connections());
+        let (commands, inputs) = CommandSender::new(settings.front_connections());
         let (status_sender, status) = watch::channel(EngineStatus::default());
         let peers = Arc::new(peer_links(&settings));
         let seed = rand::random();
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::constants;
 use crate::engine::{Command, EngineStatus, Reply};
-use crate::engine_queue::Commands;
+use crate::engine_queue::CommandSender;
 use crate::peer::{Announcement, Link, Message, PeerError, read_frame, write_frame};
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
 pub(super) struct PeerEndpoint {
     node: String,
     status: watch::Receiver<EngineStatus>,
-    commands: Commands,
+    commands: CommandSender,
 }
 
 impl PeerEndpoint {
     pub(super) fn new(
         node: String,
         status: watch::Receiver<EngineStatus>,
-        commands: Commands,
+        commands: CommandSender,
     ) -> Self {
         PeerEndpoint {
             node,
@@ -117,7 +117,7 @@
             job: job.into(),
             reply,
         };
-        match self.commands.ask(count_tasks).await {
+        match self.commands.request(count_tasks).await {
             Some(Reply::TaskCounts { completed, running }) => Message::Counts {
                 done: completed,
                 running,
--- a/src/node/peers/tests.rs
+++ b/src/node/peers/tests.rs
@@ -12,7 +12,7 @@
 
 /// Serves peers as node `n0`, which leads with term 7.
 async fn serve() -> Served {
-    let (commands, inputs) = Commands::new(0);
+    let (commands, inputs) = CommandSender::new(0);
     let (status_sender, status) = watch::channel(EngineStatus {
         term: 7,
         store_reachable: true,
