--- a/src/engine/election.rs
+++ b/src/engine/election.rs
@@ -1,4 +1,4 @@
-//! Steps of an election: the campaign, the renewal of the lease, and stepping down.
+//! Steps of an election: campaigning, renewing the leader's lease, and stepping down.
 
 use super::Engine;
 use super::leader::{Leader, LeaderLease};
@@ -11,15 +11,16 @@
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::store::{Item, Transaction};
 
-/// The durable term as it was read.
+/// The durable term, as read from the state service.
 struct StoredTerm {
     term: u64,
-    /// Version of its key; 0 if it does not exist.
+    /// Version of the term's key; 0 if the key does not exist.
     version: u64,
 }
 
 impl Engine {
-    /// The state service names a leader.
+    /// Handles a leader record read from the state service. Steps down if the record shows that
+    /// another node has replaced this leader.
     pub(super) fn on_leader_observed(&mut self, observed: ObservedLeader) {
         let (leader, term) = (observed.node.clone(), observed.term);
         let observation = self.leadership.observe_leader(observed);
@@ -32,25 +33,27 @@
         }
     }
 
-    /// The leader's key was deleted, up to that version.
+    /// Handles the deletion of the leader's key: versions of the key up to `version` no longer
+    /// exist.
     pub(super) fn on_leader_key_deleted(&mut self, version: u64) {
         if self.leadership.observe_key_deleted(version) {
             self.step_down(StepDownReason::LeaseExpired);
         }
     }
 
-    /// A peer has announced its state.
+    /// Handles the announcement of a peer.
     pub(super) fn on_peer_announced(&mut self, announcement: &Announcement) {
         self.peers.record(announcement, self.context.now());
         self.leadership.observe_term(announcement.term);
-        // A leader that the state service refuses hears of its successor this way.
+        // A leader whose calls the state service refuses learns of its successor from this
+        // announcement.
         let leader = self.leadership.leader();
         if leader.is_some_and(|leader| leader.term() < announcement.term) {
             self.step_down(StepDownReason::PeerHasHigherTerm);
         }
     }
 
-    /// Renews the lease, steps down or begins a campaign, as is due.
+    /// Renews the lease, steps down, or begins a campaign, whichever is due.
     pub(super) fn maintain_leadership(&mut self) {
         if self.leadership.is_leading() {
             self.renew_lease_or_step_down();
@@ -75,14 +78,15 @@
         }
     }
 
-    /// Begins a campaign if nobody leads and this node is up to date.
+    /// Begins a campaign if no other node leads, this node's view of the live records is current,
+    /// and a campaign is due.
     fn campaign_when_due(&mut self) {
         let now = self.context.now();
         let own_node = &self.context.settings().node;
-        let vacant = self.leadership.other_leader(own_node).is_none();
-        let current = self.live.is_listed() && self.live.is_fresh(now);
-        let informed = current && self.machine_types.is_known();
-        if vacant && informed && self.leadership.is_campaign_due(now) {
+        let is_vacant = self.leadership.other_leader(own_node).is_none();
+        let is_view_current = self.live.is_listed() && self.live.is_fresh(now);
+        let can_lead = is_view_current && self.machine_types.is_known();
+        if is_vacant && can_lead && self.leadership.is_campaign_due(now) {
             self.leadership.begin_campaign();
             let call = StoreCall::GrantLease {
                 ttl: constants::LEASE_TTL,
@@ -92,7 +96,8 @@
         }
     }
 
-    /// The campaign's lease was granted: the durable term is read next.
+    /// Handles the outcome of the request for the campaign's lease. If the lease was granted, reads
+    /// the durable term next.
     pub(super) fn on_campaign_lease(
         &mut self,
         sent_at: Timestamp,
@@ -113,7 +118,8 @@
         self.outbox.call_store(PendingCall::ReadTerm, call);
     }
 
-    /// The durable term was read: this node's name and a higher term are written.
+    /// Handles the durable term that was read: commits this node's name as leader with a higher
+    /// term.
     pub(super) fn on_term_read(&mut self, result: Result<StoreReply, StoreError>) {
         let Some(lease) = self.leadership.campaign_lease() else {
             return self.abandon_campaign();
@@ -148,7 +154,7 @@
         );
     }
 
-    /// The outcome of the commit that makes this node the leader.
+    /// Handles the outcome of the commit that makes this node the leader.
     pub(super) fn on_election_committed(
         &mut self,
         term: u64,
@@ -170,7 +176,7 @@
         self.leadership.become_leader(node, leader, now);
     }
 
-    /// The campaign failed, or its outcome is unknown.
+    /// Ends a campaign that failed or whose outcome is unknown, and revokes its lease.
     fn abandon_campaign(&mut self) {
         if let Some(lease) = self.leadership.abandon_campaign(&mut self.context) {
             let call = StoreCall::RevokeLease { lease: lease.id };
@@ -178,7 +184,7 @@
         }
     }
 
-    /// The outcome of a renewal.
+    /// Handles the outcome of a lease renewal.
     pub(super) fn on_lease_renewed(
         &mut self,
         sent_at: Timestamp,
@@ -198,14 +204,14 @@
         }
     }
 
-    /// Gives up leadership, if this node leads, and everything that only a leader knows.
+    /// Gives up leadership, if this node leads, and drops all state that only a leader has.
     pub(super) fn step_down(&mut self, reason: StepDownReason) {
         let Some(leader) = self.leadership.resign(&mut self.context) else {
             return;
         };
         tracing::info!(term = leader.term(), %reason, "stepped down");
-        // Outcomes that come in later would meet jobs of which no placement and no completion is
-        // known any more.
+        // Outcomes that arrive later would apply to jobs whose placements and completions have been
+        // dropped.
         self.outbox.forget_leader_calls();
         let call = StoreCall::RevokeLease {
             lease: leader.lease.id(),
@@ -216,7 +222,8 @@
 }
 
 impl StoredTerm {
-    /// Reads the term's key; `None` if its record can't be read.
+    /// Decodes the record under the term's key. Returns term 0 if the key does not exist, and
+    /// `None` if the record can't be decoded.
     fn read(item: Option<Item>) -> Option<StoredTerm> {
         let Some(item) = item else {
             return Some(StoredTerm {
--- a/src/engine/leader.rs
+++ b/src/engine/leader.rs
@@ -1,4 +1,4 @@
-//! What only a leader has.
+//! The state that only a leader has.
 
 use super::autoscaling::Autoscaling;
 use super::completions::Completions;
@@ -10,7 +10,7 @@
 use crate::model::{FencingToken, MachineId, Timestamp};
 use std::time::Duration;
 
-/// The state of a leader in one term. Dropped as a whole when leadership is lost.
+/// The state of a leader in one term. It is dropped as a whole when the node loses leadership.
 #[derive(Debug)]
 pub(super) struct Leader {
     term: u64,
@@ -18,7 +18,7 @@
     elected_at: Timestamp,
     returned_machines: BoundedMap<MachineId, ()>,
     pub(super) lease: LeaderLease,
-    /// Set until the records of earlier leaders have been read.
+    /// Progress of the recovery; `None` once the records of earlier leaders have been read.
     pub(super) recovery: Option<Recovery>,
     pub(super) machines: Machines,
     pub(super) rounds: Rounds,
@@ -28,7 +28,8 @@
 }
 
 impl Leader {
-    /// A leader that was elected now: `version` is that of the leader's key.
+    /// Creates the state of a leader that is elected at `now`. `version` is the version of the
+    /// leader's key.
     pub(super) fn new(term: u64, version: u64, lease: LeaderLease, now: Timestamp) -> Self {
         Leader {
             term,
@@ -45,61 +46,63 @@
         }
     }
 
-    /// The durable term: the upper part of fencing tokens and of attempt numbers.
+    /// Returns the durable term, which forms the upper part of fencing tokens and attempt numbers.
     pub(super) fn term(&self) -> u64 {
         self.term
     }
 
-    /// Version of the leader's key: the condition on every commit.
+    /// Returns the version of the leader's key, which every commit of the leader compares.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// When the term began.
+    /// Returns the time at which the term began.
     pub(super) fn elected_at(&self) -> Timestamp {
         self.elected_at
     }
 
-    /// Whether the records of earlier leaders have been read: before that, nothing is placed.
+    /// Reports whether the records of earlier leaders have been read. Nothing is placed before
+    /// that.
     pub(super) fn has_recovered(&self) -> bool {
         self.recovery.is_none()
     }
 
-    /// The token to answer a machine with: of this term, and not below any that it has seen.
+    /// Returns the fencing token for a response to a machine. The token belongs to this term or a
+    /// later one and is not lower than any token that the machine has seen.
     pub(super) fn fencing_token_for(
         &self,
         machine: &MachineId,
         seen: FencingToken,
     ) -> FencingToken {
-        let known = self.machines.get(machine);
-        let known = known.map_or(FencingToken::default(), |machine| machine.fencing_token);
-        FencingToken::first_of_term(self.term).max(known).max(seen)
+        let sent = self.machines.get(machine);
+        let sent = sent.map_or(FencingToken::default(), |machine| machine.fencing_token);
+        FencingToken::first_of_term(self.term).max(sent).max(seen)
     }
 
-    /// Whether the machine was returned in this term. Late heartbeats and lagging lists still
-    /// name it.
+    /// Reports whether the machine was returned to the cloud in this term. Late heartbeats and
+    /// lagging machine lists can still name such a machine.
     pub(super) fn was_returned(&self, machine: &MachineId) -> bool {
         self.returned_machines.get(machine).is_some()
     }
 
-    /// The cloud has taken the machine back.
+    /// Records that the machine was returned to the cloud.
     pub(super) fn record_returned(&mut self, machine: MachineId) {
         self.returned_machines.insert(machine, ());
     }
 }
 
-/// The lease of the state service that the leader's key is attached to.
+/// The lease of the state service to which the leader's key is attached.
 #[derive(Debug)]
 pub(super) struct LeaderLease {
     id: u64,
-    /// Send time of the last renewal that succeeded.
+    /// Send time of the last renewal that succeeded, or of the request for the lease.
     renewed_at: Timestamp,
     next_renewal_at: Timestamp,
     renewal_in_flight: bool,
 }
 
 impl LeaderLease {
-    /// A lease that was asked for at `sent_at`.
+    /// Creates a lease whose request was sent at `sent_at`.
     pub(super) fn new(id: u64, sent_at: Timestamp) -> Self {
         LeaderLease {
             id,
@@ -109,41 +112,42 @@
         }
     }
 
-    /// Id of the lease.
+    /// Returns the id that the state service gave the lease.
     pub(super) fn id(&self) -> u64 {
         self.id
     }
 
-    /// Whether the last successful renewal was sent less than `duration` ago.
+    /// Reports whether the last successful renewal was sent less than `duration` ago.
     pub(super) fn was_renewed_within(&self, duration: Duration, now: Timestamp) -> bool {
         now < self.renewed_at + duration
     }
 
-    /// Begins a renewal if one is due; whether it did.
+    /// Marks a renewal as in flight if one is due. Returns whether it is due.
     pub(super) fn begin_renewal_if_due(&mut self, now: Timestamp) -> bool {
         let due = !self.renewal_in_flight && now >= self.next_renewal_at;
         self.renewal_in_flight |= due;
         due
     }
 
-    /// A renewal that was sent then succeeded.
+    /// Records that the renewal sent at `sent_at` succeeded.
     pub(super) fn on_renewed(&mut self, sent_at: Timestamp) {
         self.renewal_in_flight = false;
         self.renewed_at = self.renewed_at.max(sent_at);
         self.next_renewal_at = sent_at + constants::LEASE_RENEWAL_INTERVAL;
     }
 
-    /// A renewal failed; the lease may be valid all the same.
+    /// Records that a renewal failed; the lease may still be valid. The next renewal follows after
+    /// a quarter of the renewal interval.
     pub(super) fn on_renewal_failed(&mut self, now: Timestamp) {
         self.renewal_in_flight = false;
         self.next_renewal_at = now + constants::LEASE_RENEWAL_INTERVAL / 4;
     }
 }
 
-/// When the next scheduling pass is to be run.
+/// Decides when the next scheduling pass runs.
 #[derive(Debug)]
 pub(super) struct SchedulingTrigger {
-    /// Something has changed that may allow a placement.
+    /// Set if a change since the last pass may allow a placement.
     requested: bool,
     next_at: Timestamp,
 }
@@ -156,23 +160,23 @@
         }
     }
 
-    /// Something has changed that may allow a placement.
+    /// Requests a pass because a change may allow a placement.
     pub(super) fn request(&mut self) {
         self.requested = true;
     }
 
-    /// Whether a pass is wanted, due or not.
+    /// Reports whether a pass is requested, even if it is not due yet.
     pub(super) fn is_requested(&self) -> bool {
         self.requested
     }
 
-    /// Whether a pass is to be run now.
+    /// Reports whether a pass is requested and due.
     pub(super) fn is_due(&self, now: Timestamp) -> bool {
         self.requested && now >= self.next_at
     }
 
-    /// A pass is run now; the next one follows some time later, so that changes that come in
-    /// quick succession share it.
+    /// Records that a pass runs now. The next pass runs no earlier than one interval later, so that
+    /// changes in quick succession are handled by one pass.
     pub(super) fn begin_pass(&mut self, now: Timestamp) {
         self.requested = false;
         self.next_at = now + constants::SCHEDULING_INTERVAL;
--- a/src/engine/leader/tests.rs
+++ b/src/engine/leader/tests.rs
@@ -6,12 +6,12 @@
 }
 
 #[test]
-fn a_lease_is_renewed_in_time_and_one_renewal_after_the_other() {
+fn lease_renewal_is_due_after_the_interval_and_only_one_is_in_flight() {
     let mut lease = LeaderLease::new(9, instant(0));
     let due = instant(0) + constants::LEASE_RENEWAL_INTERVAL;
     assert!(!lease.begin_renewal_if_due(instant(0)));
     assert!(lease.begin_renewal_if_due(due));
-    assert!(!lease.begin_renewal_if_due(due), "one is in flight");
+    assert!(!lease.begin_renewal_if_due(due), "a renewal is in flight");
     lease.on_renewed(due);
     assert!(lease.was_renewed_within(constants::LEASE_TTL, due));
     let expired = due + constants::LEASE_TTL;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_failed_renewal_is_repeated_and_proves_nothing() {
+fn failed_renewal_is_retried_and_does_not_extend_the_lease() {
     let mut lease = LeaderLease::new(9, instant(0));
     let due = instant(0) + constants::LEASE_RENEWAL_INTERVAL;
     assert!(lease.begin_renewal_if_due(due));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn fencing_tokens_belong_to_the_term_and_never_go_back() {
+fn fencing_token_belongs_to_the_term_and_never_decreases() {
     let leader = leader();
     let machine = MachineId::from("host-1");
     let first = FencingToken::first_of_term(5);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn returned_machines_are_remembered() {
+fn returned_machine_is_recorded() {
     let mut leader = leader();
     let machine = MachineId::from("host-1");
     assert!(!leader.was_returned(&machine));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn changes_within_an_interval_share_a_scheduling_pass() {
+fn changes_within_one_interval_are_handled_by_one_scheduling_pass() {
     let mut scheduling = SchedulingTrigger::new(instant(0));
     assert!(scheduling.is_due(instant(0)));
     scheduling.begin_pass(instant(0));
--- a/src/engine/leadership.rs
+++ b/src/engine/leadership.rs
@@ -1,41 +1,43 @@
-//! This node's role, and what it knows of the leader.
+//! The role of this node and the current leader as observed in the state service.
 //!
-//! The leader is the node whose name stands under a key that is attached to a lease of the state
-//! service. The commit that writes the key also raises the durable term, and succeeds only if key
-//! and term are as read before; so terms are never used twice, and at most one leader's commits
-//! succeed. `election.rs` takes the steps of a campaign, `authority.rs` says what a node may do.
+//! The leader is the node whose name is stored under a key that is attached to a lease of the state
+//! service. The commit that writes the key also increases the durable term, and is a
+//! compare-and-swap on both: it succeeds only if neither the key nor the term has changed since
+//! they were read. Terms are therefore never reused, and at most one leader's commits succeed.
+//! `election.rs` implements the steps of a campaign; `authority.rs` decides which actions a node
+//! is allowed to take.
 
 use super::context::Context;
 use super::leader::Leader;
 use super::retry::Retry;
 use crate::model::Timestamp;
 
-/// The leader that the state service names.
+/// The leader according to the state service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct ObservedLeader {
-    /// Name of its node.
+    /// Name of the leader's node.
     pub(super) node: String,
-    /// Its term.
+    /// Term of the leader.
     pub(super) term: u64,
     /// Version of the leader's key.
     pub(super) version: u64,
 }
 
-/// The lease that a candidate has been granted.
+/// The lease that was granted to a candidate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CampaignLease {
     /// Id of the lease.
     pub(super) id: u64,
-    /// When it was asked for.
+    /// Time at which the request for the lease was sent.
     pub(super) sent_at: Timestamp,
 }
 
-/// How far a campaign has come.
+/// The phase of a campaign.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CampaignPhase {
-    /// The lease has been asked for.
+    /// The request for a lease is in flight.
     RequestingLease,
-    /// The lease is granted; the term is read, then written with the leader's key.
+    /// The lease is granted. The term is read and then written together with the leader's key.
     Electing(CampaignLease),
 }
 
@@ -48,7 +50,7 @@
     Leader(Box<Leader>),
 }
 
-/// Why a leader steps down.
+/// The reason why a leader steps down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum StepDownReason {
     /// The state service names another leader.
@@ -63,43 +65,43 @@
     /// A worker has seen a higher term.
     #[error("a worker has seen a higher term")]
     WorkerHasHigherTerm,
-    /// Neither renewals nor watches are answered.
+    /// Lease renewals or watches have not been answered for too long.
     #[error("no contact with the state service")]
     StoreUnreachable,
-    /// A commit failed on the leader's key.
+    /// A commit failed because the version of the leader's key has changed.
     #[error("a commit found another leader")]
     CommitConflict,
-    /// The term has no further round numbers.
+    /// All round numbers of the term are used.
     #[error("a new term is needed for more rounds")]
     RoundNumbersExhausted,
-    /// Most workers have fallen silent at once.
+    /// Most workers stopped sending heartbeats at the same time.
     #[error("most workers can't be heard")]
     WorkersUnreachable,
 }
 
-/// What an observation of the leader's key means to this node.
+/// The meaning of an observed leader record for this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LeaderObservation {
-    /// A newer one was observed before.
+    /// A record of the same or a newer version was observed before.
     Outdated,
-    /// It is the newest, and this node does not lead or leads by this very key.
+    /// The record is the newest, and this node either does not lead or wrote this record itself.
     Current,
-    /// It is the newest, and this node has led until now.
+    /// The record is the newest, and it replaces the one by which this node led.
     Superseded,
 }
 
-/// The role of this node and the leader that it knows of.
+/// The role of this node and the leader that it has observed.
 #[derive(Debug, Default)]
 pub(super) struct Leadership {
     role: Role,
     campaign: Retry,
     observed_leader: Option<ObservedLeader>,
-    /// Highest term heard of, from any source.
+    /// Highest term observed, from any source.
     highest_term: u64,
 }
 
 impl Leadership {
-    /// The leader's state, if this node leads.
+    /// Returns the leader's state if this node leads.
     pub(super) fn leader(&self) -> Option<&Leader> {
         match &self.role {
             Role::Leader(leader) => Some(leader),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The leader's state, if this node leads.
+    /// Returns the leader's state for modification if this node leads.
     pub(super) fn leader_mut(&mut self) -> Option<&mut Leader> {
         match &mut self.role {
             Role::Leader(leader) => Some(leader),
@@ -115,43 +117,44 @@
         }
     }
 
-    /// The leader's state, if this node leads and has read the records of earlier leaders.
+    /// Returns the leader's state if this node leads and has read the records of earlier leaders.
     pub(super) fn recovered_leader_mut(&mut self) -> Option<&mut Leader> {
         self.leader_mut().filter(|leader| leader.has_recovered())
     }
 
-    /// Whether this node leads.
+    /// Reports whether this node leads.
     pub(super) fn is_leading(&self) -> bool {
         self.leader().is_some()
     }
 
-    /// The leader that the state service names.
+    /// Returns the leader according to the state service.
     pub(super) fn observed_leader(&self) -> Option<&ObservedLeader> {
         self.observed_leader.as_ref()
     }
 
-    /// The leader that the state service names, if it is not this node. (This node's own key from
-    /// before a restart counts for nothing: that process is gone.)
+    /// Returns the leader according to the state service if it is another node. A key that this
+    /// node wrote before a restart does not count, because the process that held it has ended.
     pub(super) fn other_leader(&self, own_node: &str) -> Option<&ObservedLeader> {
         self.observed_leader
             .as_ref()
             .filter(|leader| leader.node != own_node)
     }
 
-    /// Highest term heard of.
+    /// Returns the highest term observed from any source.
     pub(super) fn highest_term(&self) -> u64 {
         self.highest_term
     }
 
-    /// A term was heard of.
+    /// Records an observed term.
     pub(super) fn observe_term(&mut self, term: u64) {
         self.highest_term = self.highest_term.max(term);
     }
 
-    /// The state service names a leader.
+    /// Records a leader record read from the state service and returns what it means for this
+    /// node.
     pub(super) fn observe_leader(&mut self, observed: ObservedLeader) -> LeaderObservation {
-        let known = self.observed_leader.as_ref();
-        if known.is_some_and(|known| known.version >= observed.version) {
+        let previous = self.observed_leader.as_ref();
+        if previous.is_some_and(|previous| previous.version >= observed.version) {
             return LeaderObservation::Outdated;
         }
         self.observe_term(observed.term);
@@ -164,11 +167,11 @@
         }
     }
 
-    /// The leader's key was deleted, up to that version. Whether that ends this node's own
-    /// leadership.
+    /// Records that versions of the leader's key up to `version` no longer exist. Returns whether
+    /// that ends this node's own leadership.
     pub(super) fn observe_key_deleted(&mut self, version: u64) -> bool {
-        let known = self.observed_leader.as_ref();
-        if known.is_some_and(|known| known.version > version) {
+        let previous = self.observed_leader.as_ref();
+        if previous.is_some_and(|previous| previous.version > version) {
             return false;
         }
         self.observed_leader = None;
@@ -176,18 +179,18 @@
             .is_some_and(|leader| leader.version() <= version)
     }
 
-    /// Whether this node is a follower and its next campaign is due.
+    /// Reports whether this node is a follower whose next campaign is due.
     pub(super) fn is_campaign_due(&self, now: Timestamp) -> bool {
         matches!(self.role, Role::Follower) && self.campaign.is_due(now)
     }
 
-    /// Becomes a candidate that asks for a lease.
+    /// Becomes a candidate whose request for a lease is in flight.
     pub(super) fn begin_campaign(&mut self) {
         self.campaign.begin();
         self.role = Role::Candidate(CampaignPhase::RequestingLease);
     }
 
-    /// The campaign's lease was granted; false if there is no campaign.
+    /// Records that the campaign's lease was granted. Returns `false` if no campaign is running.
     pub(super) fn begin_election(&mut self, lease: CampaignLease) -> bool {
         let Role::Candidate(phase) = &mut self.role else {
             return false;
@@ -196,7 +199,7 @@
         true
     }
 
-    /// The lease of the campaign, if it has one.
+    /// Returns the lease of the campaign, if one has been granted.
     pub(super) fn campaign_lease(&self) -> Option<CampaignLease> {
         match self.role {
             Role::Candidate(CampaignPhase::Electing(lease)) => Some(lease),
@@ -204,8 +207,9 @@
         }
     }
 
-    /// The campaign failed, or its outcome is unknown. Returns its lease, which must not linger
-    /// with the leader's key.
+    /// Ends a campaign that failed or whose outcome is unknown. Returns its lease, which the caller
+    /// revokes: the commit may have succeeded, and the leader's key would otherwise remain until
+    /// the lease expires.
     pub(super) fn abandon_campaign(&mut self, context: &mut Context) -> Option<CampaignLease> {
         let lease = self.campaign_lease();
         if matches!(self.role, Role::Candidate(_)) {
@@ -215,7 +219,7 @@
         lease
     }
 
-    /// This node has been elected.
+    /// Becomes the leader after the election was committed.
     pub(super) fn become_leader(&mut self, node: String, leader: Leader, now: Timestamp) {
         self.campaign.record_success(now);
         self.observed_leader = Some(ObservedLeader {
@@ -227,7 +231,7 @@
         self.role = Role::Leader(Box::new(leader));
     }
 
-    /// Becomes a follower. Returns the state of the term that has ended, if this node led.
+    /// Becomes a follower if this node leads, and returns the state of the term that has ended.
     pub(super) fn resign(&mut self, context: &mut Context) -> Option<Box<Leader>> {
         match std::mem::take(&mut self.role) {
             Role::Leader(leader) => {
@@ -241,7 +245,7 @@
         }
     }
 
-    /// No campaign begins before that.
+    /// Sets the earliest time of the next campaign.
     pub(super) fn postpone_campaign(&mut self, until: Timestamp) {
         self.campaign.postpone(until);
     }
--- a/src/engine/leadership/tests.rs
+++ b/src/engine/leadership/tests.rs
@@ -10,8 +10,8 @@
     }
 }
 
-/// A node that leads with term 5, by a key of version 40.
-fn leading() -> Leadership {
+/// Leadership of a node that leads in term 5; the version of the leader's key is 40.
+fn leader_in_term_5() -> Leadership {
     let mut leadership = Leadership::default();
     leadership.begin_campaign();
     let lease = CampaignLease {
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn a_newer_key_of_another_node_supersedes_a_leader() {
-    let mut leadership = leading();
+fn leader_is_superseded_by_a_newer_key_of_another_node() {
+    let mut leadership = leader_in_term_5();
     let old = leadership.observe_leader(observed("n1", 4, 39));
     assert_eq!(old, LeaderObservation::Outdated);
     assert!(leadership.other_leader("n0").is_none());
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn only_the_deletion_of_its_own_key_ends_a_leaders_term() {
-    let mut leadership = leading();
+fn leadership_ends_only_if_the_leaders_own_key_is_deleted() {
+    let mut leadership = leader_in_term_5();
     assert!(!leadership.observe_key_deleted(39));
     assert!(leadership.observed_leader().is_some());
     assert!(leadership.observe_key_deleted(40));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_follower_learns_who_leads() {
+fn follower_observes_a_new_leader_and_the_deletion_of_its_key() {
     let mut leadership = Leadership::default();
     let first = leadership.observe_leader(observed("n1", 1, 3));
     assert_eq!(first, LeaderObservation::Current);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_abandoned_campaign_returns_its_lease_and_pauses() {
+fn abandoned_campaign_returns_its_lease_and_delays_the_next_one() {
     let mut leadership = Leadership::default();
     let mut context = context_at(0);
     assert!(leadership.is_campaign_due(context.now()));
@@ -69,13 +69,13 @@
     };
     assert!(leadership.begin_election(lease));
     assert_eq!(leadership.abandon_campaign(&mut context), Some(lease));
-    assert!(!leadership.begin_election(lease), "no campaign");
+    assert!(!leadership.begin_election(lease), "no campaign is running");
     assert!(!leadership.is_campaign_due(context.now()));
 }
 
 #[test]
-fn a_leader_that_resigns_is_a_follower() {
-    let mut leadership = leading();
+fn leader_becomes_a_follower_when_it_resigns() {
+    let mut leadership = leader_in_term_5();
     let mut context = context_at(0);
     assert_eq!(leadership.resign(&mut context).unwrap().term(), 5);
     assert!(!leadership.is_leading());
--- a/src/engine/live_records.rs
+++ b/src/engine/live_records.rs
@@ -1,4 +1,4 @@
-//! Applies the records under `live/`, as they are listed and watched, to the engine's parts.
+//! Applies the records under `live/` to the engine's components as they are listed and watched.
 
 use super::Engine;
 use super::leadership::ObservedLeader;
@@ -11,14 +11,15 @@
 use rmpv::Value;
 
 impl Engine {
-    /// Lists or watches the records, if that is due.
+    /// Lists or watches the records if a call is due.
     pub(super) fn follow_live_records(&mut self) {
         if let Some((pending, call)) = self.live.next_call(self.context.now()) {
             self.outbox.call_store(pending, call);
         }
     }
 
-    /// A page of the records was listed.
+    /// Applies a listed page of the records, then requests the next page or ends the listing.
+    /// `first_revision` is the revision of the first page, or `None` if this is the first page.
     pub(super) fn on_live_records_listed(
         &mut self,
         first_revision: Option<u64>,
@@ -35,7 +36,7 @@
             self.live.record_listed_key(&item.key);
             self.on_live_record_put(&item.key, item.value, item.version);
         }
-        // Jobs' keys sort before the leader's, which therefore is on the last page.
+        // The jobs' keys sort before the leader's key, which therefore is on the last page.
         if page.has_more && last_key.is_some() {
             let (pending, call) = page_call(Some(first_revision), last_key);
             return self.outbox.call_store(pending, call);
@@ -48,8 +49,8 @@
     }
 
     fn remove_unlisted_jobs(&mut self, revision: u64) {
-        let known = self.jobs.keys().chain(self.dependencies.blocked_ids());
-        let unlisted: Vec<JobId> = known
+        let known_ids = self.jobs.keys().chain(self.dependencies.blocked_ids());
+        let unlisted: Vec<JobId> = known_ids
             .filter(|id| !self.live.has_listed(id))
             .cloned()
             .collect();
@@ -58,7 +59,8 @@
         }
     }
 
-    /// A watch was answered.
+    /// Handles the outcome of a watch. Restarts the listing if the state service no longer has all
+    /// changes since the watched revision.
     pub(super) fn on_live_records_watched(
         &mut self,
         sent_at: Timestamp,
@@ -82,8 +84,8 @@
         }
     }
 
-    /// Applies all changes up to a revision. A response that another one has overtaken tells
-    /// nothing new, and what it tells may be out of date.
+    /// Applies all changes up to a revision. A response that arrives after a later one is ignored:
+    /// its changes are already applied, and its values may be outdated.
     pub(super) fn apply_changes(&mut self, sent_at: Timestamp, changes: Changes) {
         self.live.record_contact(sent_at);
         if self.live.has_applied_revision(changes.revision) {
@@ -135,9 +137,9 @@
     }
 
     fn on_job_record(&mut self, key: &str, id: &JobId, value: Value, version: u64) {
-        let known = self.jobs.get(id).map(|job| job.version);
-        let known = known.max(self.dependencies.version(id));
-        if known.is_some_and(|known| known >= version) {
+        let applied = self.jobs.get(id).map(|job| job.version);
+        let applied = applied.max(self.dependencies.version(id));
+        if applied.is_some_and(|applied| applied >= version) {
             return;
         }
         let Some(record) = records::read_job(value) else {
@@ -164,7 +166,7 @@
         }
     }
 
-    /// A job that may run, seen for the first time.
+    /// Adds a job that may run and was not known before.
     pub(super) fn admit(&mut self, id: &JobId, record: &JobRecord, version: u64) {
         let spec = JobSpec::from(&record.job);
         tracing::debug!(job = %id, class = %spec.class, tasks = spec.tasks, "job admitted");
@@ -177,7 +179,8 @@
         self.dependencies.request_evaluation();
     }
 
-    /// A cancellation is durable: nothing of the job may start, and what runs is stopped now.
+    /// Applies a durable cancellation: no task of the job starts any more, and its running tasks
+    /// are stopped immediately.
     pub(super) fn on_job_cancelled(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -195,10 +198,11 @@
         self.finish_job_if_over(id);
     }
 
-    /// A job's record is gone: a leader has recorded its end.
+    /// Handles the removal of a job's record, which means that a leader has recorded the end of
+    /// the job. `version` is the version or revision up to which the record no longer exists.
     fn on_job_record_removed(&mut self, id: &JobId, version: u64) {
-        let blocked = self.dependencies.version(id);
-        if blocked.is_some_and(|known| known <= version) {
+        let blocked_version = self.dependencies.version(id);
+        if blocked_version.is_some_and(|blocked_version| blocked_version <= version) {
             self.dependencies.remove(id);
         }
         self.dependencies.request_evaluation();
@@ -209,8 +213,9 @@
             return;
         }
         if job.is_open() {
-            // Only a leader removes a record, and this one believes the job open: a successor
-            // has ended it. What is still placed is stopped rather than lost track of.
+            // Only a leader removes a record. This node still considers the job open, so a
+            // successor has ended it. Tasks that are still placed are stopped, so that none keeps
+            // running untracked.
             job.phase = JobPhase::Done { recorded: true };
             job.stop_all_tasks(0, self.context.now());
         } else if matches!(job.phase, JobPhase::Done { .. }) {
--- a/src/engine/live_view.rs
+++ b/src/engine/live_view.rs
@@ -1,8 +1,8 @@
-//! How far this node has followed the records under `live/`: the leader's key and the jobs that
-//! are not over.
+//! Tracks up to which revision this node has read the records under `live/`: the leader's key and
+//! the jobs that are not over.
 //!
 //! The records are listed once, page by page, and then watched. [`LiveView`] holds only the
-//! position; `live_records.rs` applies what is read to the other parts of the engine.
+//! position; `live_records.rs` applies the records to the other components of the engine.
 
 use super::context::Context;
 use super::messages::PendingCall;
@@ -14,30 +14,31 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The position of this node in the changes of the records under `live/`.
+/// The position up to which this node has read the changes of the records under `live/`.
 #[derive(Debug, Default)]
 pub(super) struct LiveView {
-    /// Revision up to which the records are known; none while they have to be listed.
+    /// Revision up to which the records are known; `None` until a listing is complete.
     revision: Option<u64>,
-    /// Jobs that the listing in progress has named so far.
+    /// Jobs found so far by the listing in progress.
     listed: BTreeSet<JobId>,
-    watch: Retry,
-    /// Send time of the newest answered watch: all changes before it are known.
-    fresh_at: Option<Timestamp>,
-    /// Keys whose records can't be read: they are left alone.
+    retry: Retry,
+    /// Latest send time of an answered watch. All changes before that time are known.
+    contact_sent_at: Option<Timestamp>,
+    /// Keys whose records can't be decoded. Such records are neither changed nor deleted.
     unreadable: BTreeSet<String>,
 }
 
 impl LiveView {
-    /// The next call that follows the records, if one is due.
+    /// Returns the next call that lists or watches the records, if one is due, and marks the call
+    /// as in flight.
     pub(super) fn next_call(&mut self, now: Timestamp) -> Option<(PendingCall, StoreCall)> {
-        if !self.watch.is_due(now) {
+        if !self.retry.is_due(now) {
             return None;
         }
-        self.watch.begin();
+        self.retry.begin();
         match self.revision {
             Some(after) => {
-                // Without fresh news what counts is the first response, changes or none.
+                // A view that is not fresh needs a response at once, even one without changes.
                 let wait = match self.is_fresh(now) {
                     true => constants::WATCH_TIMEOUT,
                     false => Duration::ZERO,
@@ -52,36 +53,36 @@
         }
     }
 
-    /// A call has failed; it is repeated after a pause.
+    /// Records that a call failed. The call is retried after a pause.
     pub(super) fn on_call_failed(&mut self, context: &mut Context) {
-        self.watch.record_failure(context);
+        self.retry.record_failure(context);
     }
 
-    /// A watch was answered.
+    /// Records that a watch was answered. The next one is due at once.
     pub(super) fn on_watch_answered(&mut self, now: Timestamp) {
-        self.watch.record_success(now);
+        self.retry.record_success(now);
     }
 
-    /// Changes were missed: the records have to be listed again.
+    /// Makes the next call list all records again, because changes were missed.
     pub(super) fn restart_listing(&mut self, now: Timestamp) {
         self.revision = None;
-        self.watch.record_success(now);
+        self.retry.record_success(now);
     }
 
-    /// The listing in progress names this key.
+    /// Records a key found by the listing in progress.
     pub(super) fn record_listed_key(&mut self, key: &str) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             self.listed.insert(id.into());
         }
     }
 
-    /// Whether the listing in progress has named the job.
+    /// Reports whether the listing in progress has found the job.
     pub(super) fn has_listed(&self, id: &JobId) -> bool {
         self.listed.contains(id)
     }
 
-    /// The listing is complete. Its pages may be newer than the first one: the watch goes over what
-    /// has changed since that one again.
+    /// Ends the listing. Later pages may be newer than the first one, so the watch starts at the
+    /// revision of the first page and repeats the changes since then.
     pub(super) fn finish_listing(&mut self, first_revision: u64, now: Timestamp) {
         let listed = std::mem::take(&mut self.listed);
         self.unreadable.retain(|key| {
@@ -89,64 +90,67 @@
             id.is_some_and(|id| listed.contains(&id.into()))
         });
         self.revision = Some(first_revision);
-        self.watch.record_success(now);
+        self.retry.record_success(now);
     }
 
-    /// Revision up to which the records are known.
+    /// Returns the revision up to which the records are known.
     pub(super) fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// Whether the records have been listed.
+    /// Reports whether the records have been listed completely.
     pub(super) fn is_listed(&self) -> bool {
         self.revision.is_some()
     }
 
-    /// Whether all changes up to that revision are known.
+    /// Reports whether all changes up to the revision have been applied.
     pub(super) fn has_applied_revision(&self, revision: u64) -> bool {
-        self.revision.is_some_and(|known| known >= revision)
+        self.revision.is_some_and(|applied| applied >= revision)
     }
 
-    /// A watch that was sent then has been answered.
+    /// Records that a watch sent at `sent_at` was answered.
     pub(super) fn record_contact(&mut self, sent_at: Timestamp) {
-        self.fresh_at = self.fresh_at.max(Some(sent_at));
+        self.contact_sent_at = self.contact_sent_at.max(Some(sent_at));
     }
 
-    /// All changes up to that revision are known.
+    /// Records that all changes up to the revision have been applied.
     pub(super) fn advance_to(&mut self, revision: u64) {
         self.revision = Some(revision);
     }
 
-    /// Whether the state service has answered lately.
+    /// Reports whether the state service has answered a recent watch: one sent less than the watch
+    /// timeout plus the allowed slack ago.
     pub(super) fn is_fresh(&self, now: Timestamp) -> bool {
-        let slow = constants::WATCH_TIMEOUT + constants::WATCH_SLACK;
-        self.fresh_at
-            .is_some_and(|fresh_at| now.saturating_since(fresh_at) < slow)
+        let max_age = constants::WATCH_TIMEOUT + constants::WATCH_SLACK;
+        self.contact_sent_at
+            .is_some_and(|contact_sent_at| now.saturating_since(contact_sent_at) < max_age)
     }
 
-    /// Whether all changes are known up to some instant less than `duration` ago.
+    /// Reports whether all changes up to some time less than `duration` ago are known.
     pub(super) fn is_current_within(&self, duration: Duration, now: Timestamp) -> bool {
-        self.fresh_at
-            .is_some_and(|fresh_at| now < fresh_at + duration)
+        self.contact_sent_at
+            .is_some_and(|contact_sent_at| now < contact_sent_at + duration)
     }
 
-    /// The record under the key can't be read; whether that is news.
+    /// Records that the record under the key can't be decoded. Returns whether the key was not
+    /// marked before.
     pub(super) fn mark_unreadable(&mut self, key: &str) -> bool {
         self.unreadable.insert(key.to_owned())
     }
 
-    /// The record under the key can be read, or is gone.
+    /// Clears the mark of a key whose record can be decoded or was deleted.
     pub(super) fn clear_unreadable(&mut self, key: &str) {
         self.unreadable.remove(key);
     }
 
-    /// Whether the record under the key can't be read.
+    /// Reports whether the record under the key can't be decoded.
     pub(super) fn is_unreadable(&self, key: &str) -> bool {
         self.unreadable.contains(key)
     }
 }
 
-/// The call that reads a page: the first one, or the one after that key.
+/// Returns the call that lists a page of the records: the page after the key `after`, or the first
+/// page without one.
 pub(super) fn page_call(
     first_revision: Option<u64>,
     after: Option<String>,
@@ -158,7 +162,7 @@
     (PendingCall::ListLiveRecords { first_revision }, call)
 }
 
-/// The call that waits for changes after that revision.
+/// Returns the call that waits up to `wait` for changes after the revision `after`.
 pub(super) fn watch_call(after: u64, wait: Duration) -> StoreCall {
     StoreCall::Watch {
         prefix: LIVE_PREFIX.into(),
--- a/src/engine/live_view/tests.rs
+++ b/src/engine/live_view/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::engine::test_support::instant;
 
-fn revision_watched(call: Option<(PendingCall, StoreCall)>) -> Option<(u64, Duration)> {
+fn watch_parameters(call: Option<(PendingCall, StoreCall)>) -> Option<(u64, Duration)> {
     match call {
         Some((_, StoreCall::Watch { after, wait, .. })) => Some((after, wait)),
         _ => None,
@@ -9,31 +9,31 @@
 }
 
 #[test]
-fn records_are_listed_once_and_then_watched() {
+fn records_are_listed_once_and_then_watched_from_the_listed_revision() {
     let mut live = LiveView::default();
     let call = live.next_call(instant(0));
     assert!(matches!(call, Some((_, StoreCall::List { .. }))));
-    assert!(live.next_call(instant(0)).is_none(), "one is in flight");
+    assert!(live.next_call(instant(0)).is_none(), "a call is in flight");
     live.record_listed_key("live/job/run-1");
     assert!(live.has_listed(&"run-1".into()));
     live.finish_listing(7, instant(5));
     assert!(live.is_listed() && live.has_applied_revision(7) && !live.has_applied_revision(8));
-    // Nothing fresh is known yet: the first response counts.
+    // No watch has been answered yet, so the first one must return at once.
     assert_eq!(
-        revision_watched(live.next_call(instant(5))),
+        watch_parameters(live.next_call(instant(5))),
         Some((7, Duration::ZERO))
     );
     live.record_contact(instant(5));
     live.on_watch_answered(instant(6));
     let wait = constants::WATCH_TIMEOUT;
     assert_eq!(
-        revision_watched(live.next_call(instant(6))),
+        watch_parameters(live.next_call(instant(6))),
         Some((7, wait))
     );
 }
 
 #[test]
-fn missed_changes_have_the_records_listed_again() {
+fn records_are_listed_again_after_missed_changes() {
     let mut live = LiveView::default();
     live.finish_listing(7, instant(0));
     live.restart_listing(instant(0));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn what_is_known_ages() {
+fn view_becomes_outdated_with_time() {
     let mut live = LiveView::default();
     assert!(!live.is_fresh(instant(0)));
     live.record_contact(instant(1_000));
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn unreadable_records_are_forgotten_with_their_keys() {
+fn unreadable_mark_is_dropped_when_the_key_is_gone_or_readable() {
     let mut live = LiveView::default();
     assert!(live.mark_unreadable("live/job/run-1"));
-    assert!(!live.mark_unreadable("live/job/run-1"), "no news");
+    assert!(!live.mark_unreadable("live/job/run-1"), "already marked");
     assert!(live.mark_unreadable("live/job/run-2"));
     live.record_listed_key("live/job/run-2");
     live.finish_listing(7, instant(0));
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,14 +1,14 @@
-//! The one owner of a node's state.
+//! The state machine that owns all state of a node.
 //!
-//! [`Engine::step`] takes a batch of commands with the time and returns effects. It does no I/O
-//! and reads no clock, so that given the same inputs and seed it does the same; everything that
-//! touches the world is an [`Effect`] that the node's runtime carries out, and whose outcome
-//! comes back as a command.
+//! [`Engine::step`] takes a batch of commands and the current time and returns effects. The engine
+//! does no I/O and reads no clock, so it is deterministic: the same inputs and seed give the same
+//! effects. Every interaction with the outside is an [`Effect`] that the node's runtime executes;
+//! the outcome of a call returns to the engine as a command.
 //!
-//! The state is divided into parts, each a struct with private fields in a module of its own:
-//! what every node has stands in [`Engine`], what only a leader has in `leader::Leader`. The other
-//! modules take the steps that concern several parts. `docs/architecture.md` has a table of who
-//! owns what.
+//! The state is divided into components, each a struct with private fields in a separate module.
+//! [`Engine`] holds the components that every node has, `leader::Leader` those that only a leader
+//! has. The other modules implement the steps that involve several components.
+//! `docs/architecture.md` has a table of which component owns which state.
 
 mod authority;
 mod autoscaling;
@@ -68,7 +68,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The state of a node. See the module's page.
+/// The state of a node. See the module documentation.
 pub struct Engine {
     context: Context,
     outbox: Outbox,
@@ -85,7 +85,8 @@
 }
 
 impl Engine {
-    /// The engine of a node that begins now. The seed decides how its retries are spread.
+    /// Creates the engine of a node that is starting. The seed determines the jitter of its
+    /// retries.
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         Engine {
             peers: PeerHealth::new(settings.peers.clone()),
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Handles a batch of commands, then what is due by now: `elapsed` is the time since the
-    /// process's start.
+    /// Handles a batch of commands, then runs the work that is due, and returns the resulting
+    /// effects in order. `elapsed` is the time since the start of the process.
     pub fn step(
         &mut self,
         elapsed: Duration,
@@ -120,7 +121,7 @@
         self.outbox.take_effects()
     }
 
-    /// What the rest of the node may know.
+    /// Returns the engine's status, which the node publishes to its other components.
     pub fn status(&self) -> EngineStatus {
         let leader = self.leadership.leader();
         let observed_leader = self.leadership.observed_leader();
@@ -134,17 +135,21 @@
         }
     }
 
-    /// Whether users can be served here.
+    /// Reports whether this node can serve users.
     fn is_ready(&self) -> bool {
         let now = self.context.now();
-        // Questions are answered without the machine types; only new jobs need them.
-        let patience_ends = context::process_start() + constants::MACHINE_TYPES_PATIENCE;
-        let informed = self.machine_types.is_known() || now > patience_ends;
-        // A node that alone has lost the state service cannot serve users, nor can one that has
-        // lost its peers with it: they may well be served elsewhere. In an outage that all nodes
-        // see, staying in the balancer's rotation gives users a prompt 503.
-        let served_elsewhere = self.peers.any_reaches_store(now) || self.peers.is_isolated(now);
-        informed && self.live.is_listed() && (self.live.is_fresh(now) || !served_elsewhere)
+        // Queries need no machine types, only submissions do. The node therefore becomes ready
+        // without them after a timeout.
+        let machine_types_deadline = context::process_start() + constants::MACHINE_TYPES_PATIENCE;
+        let machine_types_settled = self.machine_types.is_known() || now > machine_types_deadline;
+        // A node is not ready if it has lost the state service while a peer still reaches the
+        // service, or while it reaches no peer either: another node may be able to serve users.
+        // In an outage that affects all nodes, this node stays in the load balancer's rotation,
+        // so that users get a prompt 503.
+        let others_may_serve = self.peers.any_reaches_store(now) || self.peers.is_isolated(now);
+        machine_types_settled
+            && self.live.is_listed()
+            && (self.live.is_fresh(now) || !others_may_serve)
     }
 
     fn on_command(&mut self, command: Command) {
@@ -193,7 +198,7 @@
             PendingCall::WriteCompletions(batch) => self.on_completions_written(batch, result),
             PendingCall::ReadProgressRecord { key } => self.on_progress_record_read(&key, result),
             PendingCall::ReadFinalRecord { job } => self.on_final_record_read(&job, result),
-            // Nobody waits for the outcome, or the call is one of the cloud's.
+            // The outcome is not used, or the call belongs to the cloud.
             PendingCall::Untracked
             | PendingCall::ListMachineTypes
             | PendingCall::ListMachines
@@ -214,12 +219,12 @@
             PendingCall::ListMachines => self.on_machines_listed(result),
             PendingCall::RentMachines(offer) => self.on_machines_rented(offer, result),
             PendingCall::ReturnMachines(machines) => self.on_machines_returned(machines, result),
-            // All others are calls of the state service.
+            // All other calls belong to the state service.
             _ => {}
         }
     }
 
-    /// What is due by now.
+    /// Runs the periodic and time-driven work that is due.
     fn run_due_steps(&mut self) {
         self.read_machine_types_when_due();
         self.follow_live_records();
@@ -257,7 +262,7 @@
         self.outbox.reply(to, reply);
     }
 
-    /// Builds the snapshots of machines again that have changed.
+    /// Rebuilds the snapshots of the machines that have changed.
     fn refresh_snapshots(&mut self) {
         let now = self.context.now();
         if let Some(leader) = self.leadership.leader_mut() {
@@ -266,7 +271,7 @@
         }
     }
 
-    /// Whether the snapshots that are kept are what would be built now.
+    /// Reports whether the cached machine snapshots equal newly built ones.
     #[cfg(test)]
     pub fn snapshots_agree(&self) -> bool {
         let now = self.context.now();
--- a/src/engine/recovery.rs
+++ b/src/engine/recovery.rs
@@ -1,7 +1,9 @@
-//! What a new leader reads before it acts: progress of arrays, then open rounds.
+//! Recovery: the records that a new leader reads before it acts. These are the progress records of
+//! arrays, followed by the records of open rounds.
 //!
-//! A start in an open round may be on its machine, may still reach it, or may be over. It counts
-//! as placed until the machine, having seen this leader's token, sends a heartbeat without it.
+//! A task start in an open round may run on its machine, may still arrive there, or may have
+//! ended. The task counts as placed until the machine has seen this leader's fencing token and
+//! sends a heartbeat that does not list the task.
 
 use super::Engine;
 use super::context::Context;
@@ -15,19 +17,20 @@
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::store::Item;
 
-/// What is being read.
+/// The kind of records that recovery reads next.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum RecoveryStage {
-    /// Nothing yet: the watch has to tell all that was durable when leadership began.
+    /// Waits until the watch has delivered all live records that were durable when leadership
+    /// began.
     #[default]
     LiveRecords,
-    /// Progress records.
+    /// Reads the progress records.
     Progress,
-    /// Records of rounds.
+    /// Reads the records of rounds.
     Rounds,
 }
 
-/// How far a new leader's recovery has come.
+/// The progress of a new leader's recovery.
 #[derive(Debug, Default)]
 pub(super) struct Recovery {
     stage: RecoveryStage,
@@ -37,10 +40,11 @@
 }
 
 impl Recovery {
-    /// The call that reads the next page, if it is due. `live_known`: the live records are known up
-    /// to the revision at which leadership began.
-    fn next_call(&mut self, live_known: bool, now: Timestamp) -> Option<StoreCall> {
-        if self.stage == RecoveryStage::LiveRecords && live_known {
+    /// Returns the call that reads the next page, if one is due, and marks the call as in flight.
+    /// `live_records_applied` says whether the live records have been applied up to the revision
+    /// at which leadership began.
+    fn next_call(&mut self, live_records_applied: bool, now: Timestamp) -> Option<StoreCall> {
+        if self.stage == RecoveryStage::LiveRecords && live_records_applied {
             self.stage = RecoveryStage::Progress;
         }
         let prefix = match self.stage {
@@ -58,12 +62,13 @@
         })
     }
 
-    /// The read failed; it is repeated after a pause.
+    /// Records that a read failed. The read is retried after a pause.
     fn on_read_failed(&mut self, context: &mut Context) {
         self.retry.record_failure(context);
     }
 
-    /// A page was read that ends with that key if more follow. Returns the stage that it belongs to.
+    /// Records that a page was read and advances to the next page or stage. `next` is the page's
+    /// last key if more pages follow. Returns the stage of the page and whether it is the last one.
     fn on_page_read(&mut self, next: Option<String>, now: Timestamp) -> PageRead {
         self.retry.record_success(now);
         let stage = self.stage;
@@ -79,34 +84,38 @@
     }
 }
 
-/// A page of records that was read.
+/// The position of a page of records that was read.
 struct PageRead {
     stage: RecoveryStage,
-    /// Whether nothing is left to read after it.
+    /// Whether this is the last page of the recovery.
     is_last: bool,
 }
 
 impl Engine {
-    /// Reads the next page. First all jobs must be known that an earlier leader may have placed: a
-    /// round that names an unknown job is not counted, and what the job has running would be
-    /// started again. (A watch may lag by seconds when the state service is slow.) A read that
-    /// fails is repeated: in an outage nobody else fares better, and the workers keep their work
-    /// meanwhile; a leader that alone is refused loses its lease.
+    /// Reads the next page if one is due.
+    ///
+    /// The first read waits until all jobs are known that an earlier leader may have placed. A
+    /// round that names an unknown job is not counted, so the job's running tasks would be started
+    /// a second time. The watch may lag by seconds when the state service is slow.
+    ///
+    /// A failed read is retried without limit. In an outage of the state service no other node
+    /// could recover either, and the workers keep running their tasks; a leader that is the only
+    /// one refused by the service loses its lease.
     pub(super) fn recover_when_due(&mut self) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
             return;
         };
-        let live_known = self.live.has_applied_revision(leader.version());
+        let live_records_applied = self.live.has_applied_revision(leader.version());
         let Some(recovery) = &mut leader.recovery else {
             return;
         };
-        if let Some(call) = recovery.next_call(live_known, now) {
+        if let Some(call) = recovery.next_call(live_records_applied, now) {
             self.outbox.call_store(PendingCall::ReadRecoveryPage, call);
         }
     }
 
-    /// A page of records was read, or could not be.
+    /// Handles the outcome of reading a page of records.
     pub(super) fn on_recovery_page(&mut self, result: Result<StoreReply, StoreError>) {
         let now = self.context.now();
         let leader = self.leadership.leader_mut();
@@ -152,7 +161,8 @@
         }
     }
 
-    /// All is read: machines get the tasks that are placed on them.
+    /// Ends the recovery after the last page: assigns the placed tasks to their machines and
+    /// finishes jobs that are over.
     fn finish_recovery(&mut self) {
         if let Some(leader) = self.leadership.leader_mut() {
             leader.recovery = None;
@@ -176,11 +186,11 @@
         }
     }
 
-    /// Applies a progress record; `None` if it can't be read.
+    /// Applies a progress record. Returns `None` if the record can't be decoded.
     fn recover_progress(&mut self, key: &str, record: &ProgressRecord, version: u64) -> Option<()> {
         let (id, first_task) = records::parse_progress_key(key)?;
         let Some(job) = self.jobs.get_mut(&id) else {
-            // Its job is over; the leader that ended it did not get to this.
+            // The job is over, but the leader that ended it did not delete this record.
             if let Some(leader) = self.leadership.leader_mut() {
                 leader.completions.add_removal(key.to_owned());
             }
@@ -196,7 +206,8 @@
         Some(())
     }
 
-    /// Applies a round's record, or a part of it; `None` if it can't be read.
+    /// Applies the record of a round or of a part of one. Returns `None` if the record's key can't
+    /// be parsed.
     fn recover_round(&mut self, key: &str, record: RoundRecord) -> Option<()> {
         let number = records::parse_round_key(key)?;
         let starts: Vec<StartGroup> = record.starts.into_iter().map(StartGroup::from).collect();
@@ -220,22 +231,23 @@
         Some(())
     }
 
-    /// The highest attempt of a task is the one that may be on a machine: before a later round was
-    /// written, the earlier attempt was surely gone.
+    /// Adds the placement of a task start found in a round. Only the highest attempt of a task can
+    /// be on a machine: a later round is written only after the earlier attempt is known to have
+    /// ended.
     fn recover_start(&mut self, id: &JobId, machine: &MachineId, index: u32, attempt: u64) {
         let now = self.context.now();
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let known = job.placements.get(&index);
-        let is_older = known.is_some_and(|placement| placement.attempt > attempt);
-        if is_older || index >= job.spec.tasks || job.completed.contains(index) {
+        let recovered = job.placements.get(&index);
+        let is_outdated = recovered.is_some_and(|placement| placement.attempt > attempt);
+        if is_outdated || index >= job.spec.tasks || job.completed.contains(index) {
             return;
         }
         let placement = Placement {
             machine: machine.clone(),
             attempt,
-            // An earlier leader may have sent the start: this one never sends it again.
+            // An earlier leader may have sent the start, so this leader never sends it again.
             stage: PlacementStage::Starting {
                 sent: Some(HeartbeatSequence::default()),
                 resends: u32::MAX,
