--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,9 +1,9 @@
-//! The time of day.
+//! Access to the system clock.
 
 use crate::model::{UnixTime, whole_millis};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The present time of day; the epoch if the system clock is set to a time before it.
+/// Returns the current Unix time, or the Unix epoch if the system clock is set to an earlier time.
 pub fn unix_time() -> UnixTime {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(UnixTime::default(), |elapsed| {
--- a/src/engine/context.rs
+++ b/src/engine/context.rs
@@ -1,4 +1,4 @@
-//! What every part of the engine works with: the settings, the time, and the random generator.
+//! The context shared by all components of the engine: settings, time and random generator.
 
 use crate::constants;
 use crate::model::{Timestamp, UnixTime, whole_millis};
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The engine's settings, clock and random generator. Nothing in the engine reads a clock or draws
-/// from a generator of its own.
+/// The engine's settings, clock and random generator. No component of the engine reads another
+/// clock or uses another generator, which keeps the engine deterministic.
 #[derive(Debug)]
 pub(super) struct Context {
     settings: Arc<Settings>,
@@ -20,7 +20,7 @@
 }
 
 impl Context {
-    /// The context of a process that begins now.
+    /// Creates the context of a process that is starting. The seed determines all random numbers.
     pub(super) fn new(settings: Arc<Settings>, seed: u64) -> Self {
         Context {
             timing: settings.timing(),
@@ -31,39 +31,40 @@
         }
     }
 
-    /// Advances the clock to that time since the process's start. It never goes back.
+    /// Sets the clock to the given time since the start of the process. The monotonic time never
+    /// goes back.
     pub(super) fn advance(&mut self, elapsed: Duration, unix_time: UnixTime) {
         self.now = self.now.max(process_start() + elapsed);
         self.unix_time = unix_time;
     }
 
-    /// The settings.
+    /// Returns the settings of this node and its cluster.
     pub(super) fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Durations that follow from the settings.
+    /// Returns the durations that are derived from the settings.
     pub(super) fn timing(&self) -> &Timing {
         &self.timing
     }
 
-    /// The present instant.
+    /// Returns the current monotonic time.
     pub(super) fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The present time of day.
+    /// Returns the current Unix time.
     pub(super) fn unix_time(&self) -> UnixTime {
         self.unix_time
     }
 
-    /// The random generator; each draw changes what the following ones give.
+    /// Returns the random generator, whose state advances with each number drawn.
     pub(super) fn rng(&mut self) -> &mut SmallRng {
         &mut self.rng
     }
 }
 
-/// What the clock shows at the process's start.
+/// Returns the monotonic time at the start of the process.
 pub(super) fn process_start() -> Timestamp {
     Timestamp::from_millis(whole_millis(constants::CLOCK_START))
 }
--- a/src/engine/election.rs
+++ b/src/engine/election.rs
@@ -169,7 +169,7 @@
         let now = self.context.now();
         tracing::info!(term, "became leader");
         self.jobs.forget_leader_state();
-        self.outbox.forget_leader_calls();
+        self.outbox.drop_leader_calls();
         let lease = LeaderLease::new(lease.id, lease.sent_at);
         let leader = Leader::new(term, revision, lease, now);
         let node = self.context.settings().node.clone();
@@ -212,7 +212,7 @@
         tracing::info!(term = leader.term(), %reason, "stepped down");
         // Outcomes that arrive later would apply to jobs whose placements and completions have been
         // dropped.
-        self.outbox.forget_leader_calls();
+        self.outbox.drop_leader_calls();
         let call = StoreCall::RevokeLease {
             lease: leader.lease.id(),
         };
--- a/src/engine/messages.rs
+++ b/src/engine/messages.rs
@@ -1,5 +1,5 @@
-//! What passes between the engine and its runtime: commands in, effects and replies out; and what
-//! the engine remembers of each call in flight.
+//! The messages between the engine and its runtime: commands in, effects and replies out. Also the
+//! data that the engine keeps about each call in flight.
 
 use super::autoscaling::MachineOffer;
 use super::completions::CompletionBatch;
@@ -12,59 +12,59 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Identifies a call whose outcome comes back as a command.
+/// Identifies a call whose outcome returns as a command.
 pub type CallId = u64;
 /// Identifies a command that waits for a reply.
 pub type ReplyId = u64;
 
-/// What the runtime tells the engine.
+/// An input that the runtime passes to the engine.
 #[derive(Debug)]
 pub enum Command {
-    /// A worker's heartbeat, already decoded.
+    /// A decoded heartbeat of a worker.
     Heartbeat {
-        /// The heartbeat.
+        /// The decoded message.
         heartbeat: Heartbeat,
-        /// Where its response goes.
+        /// Id of the command, to which the response is addressed.
         reply: ReplyId,
     },
-    /// Asks how many tasks of a job have completed and run, for display.
+    /// Asks how many tasks of a job have completed and how many are running, for display.
     CountTasks {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// Where the answer goes.
+        /// Id of the command, to which the reply is addressed.
         reply: ReplyId,
     },
     /// The outcome of a call to the state service.
     StoreCallCompleted {
-        /// The call.
+        /// Id of the call.
         call_id: CallId,
-        /// Its outcome.
+        /// Reply of the state service, or the error of the call.
         result: Result<StoreReply, StoreError>,
     },
     /// The outcome of a call to the cloud.
     CloudCallCompleted {
-        /// The call.
+        /// Id of the call.
         call_id: CallId,
-        /// Its outcome.
+        /// Reply of the cloud, or the error of the call.
         result: Result<CloudReply, CloudError>,
     },
     /// Another node has announced its state.
     PeerAnnounced(Announcement),
-    /// A job's cancellation is durable: its user has been or will be told.
+    /// A job's cancellation is durable, and its user has received or will receive the confirmation.
     JobCancelled(JobId),
-    /// Asks for the state of a job that waits for its dependencies. The answer rests on changes
-    /// that were read after the question came.
+    /// Asks for the state of a job that waits for its dependencies. The reply reflects changes that
+    /// were read after the query arrived.
     QueryBlockedJob {
-        /// The job.
+        /// Id of the job.
         job: JobId,
-        /// Where the answer goes.
+        /// Id of the command, to which the reply is addressed.
         reply: ReplyId,
     },
-    /// Asks which of these jobs are not known here to have been accepted.
+    /// Asks which of the given jobs this node does not know to have been accepted.
     FindUnknownJobs {
-        /// The jobs.
+        /// Ids of the jobs.
         jobs: Vec<JobId>,
-        /// Where the answer goes.
+        /// Id of the command, to which the reply is addressed.
         reply: ReplyId,
     },
 }
@@ -72,112 +72,112 @@
 /// The engine's reply to a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// The heartbeat is accepted; its worker's lease is renewed.
+    /// The heartbeat is accepted, and the response renews the worker's lease.
     HeartbeatAccepted(HeartbeatResponse),
-    /// This node does not lead; it names the leader if it knows one.
+    /// This node does not lead. Contains the name of the leader's node, if one is known.
     RedirectToLeader(Option<String>),
-    /// This node may not answer at the moment.
+    /// This node can't answer the command at the moment.
     Unavailable,
-    /// Numbers of a job's tasks.
+    /// Numbers of a job's completed and running tasks.
     TaskCounts {
-        /// Completed tasks.
+        /// Number of completed tasks.
         completed: u64,
-        /// Running tasks.
+        /// Number of running tasks.
         running: u64,
     },
-    /// Queued or cancelled; `None` if the job is not blocked any more.
+    /// State of a blocked job, queued or cancelled; `None` if the job is no longer blocked.
     BlockedJobState(Option<JobState>),
-    /// Jobs that are not known here to have been accepted.
+    /// Jobs that this node does not know to have been accepted.
     UnknownJobs(Vec<JobId>),
 }
 
-/// What the runtime carries out for the engine.
+/// An action that the runtime executes for the engine.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Replies to a command.
     Reply {
-        /// The command.
+        /// Id of the command.
         to: ReplyId,
-        /// The reply.
+        /// Reply to the command.
         reply: Reply,
     },
     /// Calls the state service.
     CallStore {
-        /// Comes back with the outcome.
+        /// Id that is returned with the outcome.
         call_id: CallId,
-        /// The call.
+        /// Operation to call.
         call: StoreCall,
-        /// An urgent call waits for no rate limit.
+        /// Whether the call is exempt from waiting for the rate limit.
         urgent: bool,
     },
     /// Calls the cloud.
     CallCloud {
-        /// Comes back with the outcome.
+        /// Id that is returned with the outcome.
         call_id: CallId,
-        /// The call.
+        /// Operation to call.
         call: CloudCall,
     },
-    /// Sends commands to a worker directly.
+    /// Sends commands to a worker directly, without waiting for its next heartbeat.
     SendCommands {
         /// Address of the worker.
         address: SocketAddr,
-        /// The commands.
+        /// Commands, with the fencing token of the sender.
         commands: DirectCommands,
     },
 }
 
-/// What the rest of the node knows of the engine.
+/// The state of the engine that the other components of the node can see.
 #[derive(Debug, Clone, Default)]
 pub struct EngineStatus {
-    /// Whether users can be served here.
+    /// Whether this node can serve users.
     pub ready: bool,
     /// Whether this node leads.
     pub leading: bool,
-    /// The term that it leads with; 0 if it does not lead.
+    /// Term of this node's leadership; 0 if this node does not lead.
     pub term: u64,
     /// Name of the leader's node, if one is known.
     pub leader: Option<String>,
-    /// Machine types, once the cloud has told them.
+    /// Machine types of the cloud; `None` until they have been read.
     pub machine_types: Option<Arc<MachineTypes>>,
-    /// Whether the state service has answered lately.
+    /// Whether the state service has answered recently.
     pub store_reachable: bool,
 }
 
-/// What a call in flight was made for.
+/// The purpose of a call in flight.
 #[derive(Debug)]
 pub(super) enum PendingCall {
     /// Reads the cloud's machine types.
     ListMachineTypes,
     /// Reads a page of the records under `live/`.
     ListLiveRecords {
-        /// Revision of the first page; none if this is the first.
+        /// Revision of the first page; `None` if this call reads the first page.
         first_revision: Option<u64>,
     },
     /// Waits for changes of the records under `live/`.
     WatchLiveRecords { sent_at: Timestamp },
-    /// Asks for the lease of a campaign.
+    /// Requests the lease of a campaign.
     GrantCampaignLease { sent_at: Timestamp },
     /// Reads the durable term.
     ReadTerm,
-    /// Writes this node's name and a higher term.
+    /// Writes this node's name as leader and a higher term.
     CommitElection { term: u64 },
     /// Renews the leader's lease.
     RenewLease { sent_at: Timestamp },
-    /// Nobody waits for the outcome.
+    /// A call whose outcome is not used.
     Untracked,
     /// Reads a page of the records that a new leader recovers.
     ReadRecoveryPage,
-    /// A transaction of the round with that number.
+    /// Commits a transaction of the round with the given number.
     WriteRound { number: u64 },
     /// Lists records of rounds to find orphaned ones.
     ListOrphanedRounds,
     /// Writes completions.
     WriteCompletions(CompletionBatch),
-    /// Reads a progress record whose version is not known any more.
+    /// Reads a progress record whose current version is not known.
     ReadProgressRecord { key: String },
-    /// Reads how a job ended that others depend on.
+    /// Reads the final state of a job on which other jobs depend.
     ReadFinalRecord { job: JobId },
-    /// Reads the changes since that revision for users' questions.
+    /// Reads the changes since the revision `after`, to answer users' queries.
     RefreshLiveRecords { sent_at: Timestamp, after: u64 },
     /// Reads a page of the cloud's machine list.
     ListMachines,
@@ -188,8 +188,8 @@
 }
 
 impl PendingCall {
-    /// Whether only a leader makes such a call.
-    pub(super) fn is_leaders(&self) -> bool {
+    /// Reports whether only a leader makes such a call.
+    pub(super) fn is_leader_only(&self) -> bool {
         !matches!(
             self,
             PendingCall::ListMachineTypes
@@ -200,7 +200,7 @@
         )
     }
 
-    /// Whether leadership depends on the call: it waits for no rate limit.
+    /// Reports whether leadership depends on the call, which exempts it from the rate limit.
     pub(super) fn is_urgent(&self) -> bool {
         matches!(
             self,
--- a/src/engine/outbox.rs
+++ b/src/engine/outbox.rs
@@ -1,4 +1,4 @@
-//! Effects that leave the engine at the end of a step, and the calls whose outcomes come back.
+//! The effects that the engine returns at the end of a step, and the calls in flight.
 
 use super::messages::{CallId, Effect, PendingCall, Reply, ReplyId};
 use crate::cloud::CloudCall;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Collects the effects of a step and remembers what each call in flight was made for.
+/// Collects the effects of a step and records the purpose of each call in flight.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     effects: Vec<Effect>,
@@ -16,7 +16,7 @@
 }
 
 impl Outbox {
-    /// Calls the state service.
+    /// Adds the effect that calls the state service.
     pub(super) fn call_store(&mut self, pending: PendingCall, call: StoreCall) {
         let urgent = pending.is_urgent();
         let call_id = self.register(pending);
@@ -27,36 +27,37 @@
         });
     }
 
-    /// Calls the cloud.
+    /// Adds the effect that calls the cloud.
     pub(super) fn call_cloud(&mut self, pending: PendingCall, call: CloudCall) {
         let call_id = self.register(pending);
         self.effects.push(Effect::CallCloud { call_id, call });
     }
 
-    /// Replies to a command.
+    /// Adds the effect that replies to a command.
     pub(super) fn reply(&mut self, to: ReplyId, reply: Reply) {
         self.effects.push(Effect::Reply { to, reply });
     }
 
-    /// Sends commands to a worker directly.
+    /// Adds the effect that sends commands directly to a worker.
     pub(super) fn send_commands(&mut self, address: SocketAddr, commands: DirectCommands) {
         self.effects
             .push(Effect::SendCommands { address, commands });
     }
 
-    /// What a call that has completed was made for; `None` if nobody awaits its outcome any more.
+    /// Removes a completed call and returns its purpose, or `None` if the outcome is to be ignored.
     pub(super) fn complete(&mut self, call_id: CallId) -> Option<PendingCall> {
         self.pending_calls.remove(&call_id)
     }
 
-    /// Drops the outcomes of calls that only a leader makes: those of one term mean nothing in
-    /// another, in which placements and completions are not known.
-    pub(super) fn forget_leader_calls(&mut self) {
+    /// Drops the calls in flight that only a leader makes, so that their outcomes are ignored. An
+    /// outcome of one term must not be applied in another, because the placements and completions
+    /// to which it refers are not known there.
+    pub(super) fn drop_leader_calls(&mut self) {
         self.pending_calls
-            .retain(|_, pending| !pending.is_leaders());
+            .retain(|_, pending| !pending.is_leader_only());
     }
 
-    /// The effects since the last time, in order.
+    /// Removes and returns the effects collected since the last call, in order.
     pub(super) fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
--- a/src/engine/outbox/tests.rs
+++ b/src/engine/outbox/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn outcomes_are_matched_with_their_calls_once() {
+fn outcome_is_matched_with_its_call_only_once() {
     let mut outbox = Outbox::default();
     let call = StoreCall::KeepAlive { lease: 3 };
     outbox.call_store(PendingCall::ReadTerm, call.clone());
@@ -30,11 +30,11 @@
 }
 
 #[test]
-fn outcomes_of_a_leaders_calls_are_dropped_with_its_term() {
+fn only_leader_calls_are_dropped() {
     let mut outbox = Outbox::default();
     outbox.call_cloud(PendingCall::ListMachines, CloudCall::ListMachineTypes);
     outbox.call_cloud(PendingCall::ListMachineTypes, CloudCall::ListMachineTypes);
-    outbox.forget_leader_calls();
+    outbox.drop_leader_calls();
     assert!(outbox.complete(1).is_none());
     assert!(outbox.complete(2).is_some());
 }
--- a/src/engine/peers.rs
+++ b/src/engine/peers.rs
@@ -1,4 +1,4 @@
-//! Which controller nodes can be heard, and what they say of themselves.
+//! Reachability of the other controller nodes, and the state that they announce.
 
 use crate::constants;
 use crate::model::Timestamp;
@@ -6,10 +6,10 @@
 use crate::settings::Peer;
 use std::collections::BTreeMap;
 
-/// What a peer last announced.
+/// The last announcement of a peer.
 #[derive(Debug, Clone, Copy)]
 struct PeerObservation {
-    heard_at: Timestamp,
+    received_at: Timestamp,
     store_reachable: bool,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl PeerHealth {
-    /// Health of the peers that the settings name; none has been heard yet.
+    /// Creates the health of the configured peers, none of which has sent an announcement yet.
     pub(super) fn new(configured: Vec<Peer>) -> Self {
         PeerHealth {
             configured,
@@ -29,12 +29,12 @@
         }
     }
 
-    /// Records an announcement; one of a node that is no peer is ignored.
+    /// Records an announcement. An announcement of a node that is not a configured peer is ignored.
     pub(super) fn record(&mut self, announcement: &Announcement, now: Timestamp) {
         let is_peer = |peer: &Peer| peer.node == announcement.node;
         if self.configured.iter().any(is_peer) {
             let observation = PeerObservation {
-                heard_at: now,
+                received_at: now,
                 store_reachable: announcement.store_reachable,
             };
             self.observations
@@ -42,27 +42,28 @@
         }
     }
 
-    /// Whether that peer was heard of lately.
+    /// Reports whether the peer sent an announcement within the silence timeout.
     pub(super) fn is_reachable(&self, node: &str, now: Timestamp) -> bool {
         self.observations
             .get(node)
             .is_some_and(|observation| observation.is_recent(now))
     }
 
-    /// Whether a peer that was heard of lately reaches the state service.
+    /// Reports whether any reachable peer reaches the state service, according to the peer's
+    /// announcement.
     pub(super) fn any_reaches_store(&self, now: Timestamp) -> bool {
         self.observations
             .values()
             .any(|observation| observation.store_reachable && observation.is_recent(now))
     }
 
-    /// Whether there are peers and none of them can be heard.
+    /// Reports whether peers are configured and none of them is reachable.
     pub(super) fn is_isolated(&self, now: Timestamp) -> bool {
         let is_reachable = |peer: &Peer| self.is_reachable(&peer.node, now);
         !self.configured.is_empty() && !self.configured.iter().any(is_reachable)
     }
 
-    /// Whether that zone has peers and none of them can be heard.
+    /// Reports whether peers are configured in the zone and none of them is reachable.
     pub(super) fn is_zone_unreachable(&self, zone: &str, now: Timestamp) -> bool {
         let in_zone = |peer: &&Peer| peer.zone == zone;
         let mut peers = self.configured.iter().filter(in_zone).peekable();
@@ -72,7 +73,7 @@
 
 impl PeerObservation {
     fn is_recent(&self, now: Timestamp) -> bool {
-        now.saturating_since(self.heard_at) < constants::PEER_SILENCE_TIMEOUT
+        now.saturating_since(self.received_at) < constants::PEER_SILENCE_TIMEOUT
     }
 }
 
--- a/src/engine/retry.rs
+++ b/src/engine/retry.rs
@@ -1,4 +1,4 @@
-//! Pauses between calls that fail.
+//! Exponential backoff with jitter for calls that fail.
 
 use super::context::Context;
 use crate::constants;
@@ -6,7 +6,7 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// The schedule of a call that is repeated, with growing pauses while it fails.
+/// The schedule of a repeated call. The pause before the next call doubles with each failure.
 #[derive(Debug, Default)]
 pub(super) struct Retry {
     next_at: Timestamp,
@@ -16,22 +16,22 @@
 }
 
 impl Retry {
-    /// Whether the call is to be made now.
+    /// Reports whether the call is due and not already in flight.
     pub(super) fn is_due(&self, now: Timestamp) -> bool {
         !self.in_flight && now >= self.next_at
     }
 
-    /// Whether the outcome of a call is awaited.
+    /// Reports whether a call is in flight.
     pub(super) fn is_in_flight(&self) -> bool {
         self.in_flight
     }
 
-    /// The call is made.
+    /// Records that the call is sent.
     pub(super) fn begin(&mut self) {
         self.in_flight = true;
     }
 
-    /// The call succeeded; the next one is due at `next_at`.
+    /// Records that the call succeeded. The next one is due at `next_at`.
     pub(super) fn record_success(&mut self, next_at: Timestamp) {
         *self = Retry {
             next_at,
@@ -40,18 +40,19 @@
         };
     }
 
-    /// The call failed: it is repeated after a pause twice as long as the last one.
+    /// Records that the call failed. The next one is due after a pause twice as long as the last
+    /// one, within the configured bounds and reduced by a random jitter of up to one half.
     pub(super) fn record_failure(&mut self, context: &mut Context) {
         self.in_flight = false;
         self.pause =
             (self.pause * 2).clamp(constants::RETRY_INITIAL_PAUSE, constants::RETRY_MAX_PAUSE);
         let longest = whole_millis(self.pause);
-        // Jitter keeps three nodes from asking in step after an outage.
+        // The jitter keeps the three nodes from retrying at the same time after an outage.
         let jittered = context.rng().random_range(longest / 2..=longest);
         self.next_at = context.now() + Duration::from_millis(jittered);
     }
 
-    /// The next call is due no sooner and no later than `next_at`.
+    /// Sets the time at which the next call is due, whether that is sooner or later than before.
     pub(super) fn postpone(&mut self, next_at: Timestamp) {
         self.next_at = next_at;
     }
--- a/src/engine/retry/tests.rs
+++ b/src/engine/retry/tests.rs
@@ -2,7 +2,7 @@
 use crate::engine::test_support::context_at;
 
 #[test]
-fn pauses_grow_up_to_a_maximum_and_end_with_a_success() {
+fn pauses_grow_up_to_the_maximum_and_are_reset_by_a_success() {
     let mut retry = Retry::default();
     let mut context = context_at(0);
     for failures in 1..10 {
@@ -12,7 +12,10 @@
         let longest = constants::RETRY_INITIAL_PAUSE * (1 << (failures - 1));
         let longest = longest.min(constants::RETRY_MAX_PAUSE);
         assert!(!retry.is_due(context.now()));
-        assert!(retry.is_due(context.now() + longest), "{failures} failures");
+        assert!(
+            retry.is_due(context.now() + longest),
+            "not due after {failures} failures"
+        );
     }
     retry.begin();
     assert!(retry.is_in_flight());
@@ -21,7 +24,7 @@
 }
 
 #[test]
-fn a_postponed_call_is_not_due_before() {
+fn postponed_call_is_due_at_the_given_time() {
     let mut retry = Retry::default();
     let now = context_at(0).now();
     retry.postpone(now + constants::LEASE_TTL);
--- a/src/engine/stopping.rs
+++ b/src/engine/stopping.rs
@@ -1,5 +1,4 @@
-//! Stopping tasks, and commands that are sent to workers directly, without waiting for their
-//! heartbeats.
+//! Stops tasks, and sends commands to workers directly, without waiting for their heartbeats.
 
 use super::Engine;
 use super::outbox::Outbox;
@@ -8,7 +7,7 @@
 use std::collections::BTreeMap;
 
 impl Engine {
-    /// Tells a task to write a checkpoint and stop; of a gang, all of them.
+    /// Requests that a task write a checkpoint and stop. If the job is a gang, stops all its tasks.
     pub(super) fn stop_task(&mut self, task: &TaskId) {
         let now = self.context.now();
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -23,22 +22,23 @@
         self.send_stop_commands(&task.job);
     }
 
-    /// One task of a gang gone, all go: the others are told at once, whatever they have noticed
-    /// themselves, with the grace to write a checkpoint.
+    /// Stops the remaining tasks of a gang that has lost a task. The tasks are stopped at once, even
+    /// if they have noticed the loss themselves, and get the grace period to write a checkpoint.
     pub(super) fn stop_rest_of_gang(&mut self, id: &JobId) {
         let now = self.context.now();
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let runs_on = |placement: &Placement| placement.stop_request.is_none();
-        if job.is_gang() && job.is_open() && job.placements.values().any(runs_on) {
+        let has_no_stop_request = |placement: &Placement| placement.stop_request.is_none();
+        if job.is_gang() && job.is_open() && job.placements.values().any(has_no_stop_request) {
             tracing::info!(job = %id, "gang lost a task, stopping the rest");
             job.stop_all_tasks(job.spec.checkpoint_grace_s(), now);
             self.send_stop_commands(id);
         }
     }
 
-    /// Sends a job's stops directly, without waiting for the machines' heartbeats.
+    /// Sends the stop commands of a job's tasks directly, without waiting for the heartbeats of
+    /// their machines.
     pub(super) fn send_stop_commands(&mut self, id: &JobId) {
         let Some(leader) = self.leadership.leader_mut() else {
             return;
@@ -67,10 +67,12 @@
         }
     }
 
-    /// Has a machine send a heartbeat at once, so that what was written for it does not wait for
-    /// its next one: a worker that sees a higher token sends one, though not more often than twice
-    /// a lease. The message carries no command, so it is safe however late or often it arrives,
-    /// which a start sent directly would not be.
+    /// Requests an immediate heartbeat from a machine, so that task starts written for the machine
+    /// need not wait for its next regular heartbeat.
+    ///
+    /// A worker sends a heartbeat when it receives a higher fencing token. Requests are limited to
+    /// two per worker lease. The message contains no command, so a late or repeated delivery does
+    /// no harm; a start command sent directly would not be safe in that way.
     pub(super) fn request_heartbeat(&mut self, id: &MachineId) {
         let now = self.context.now();
         let min_interval = self.context.timing().worker_lease / 2;
@@ -91,7 +93,7 @@
     }
 }
 
-/// Sends commands to a machine directly, if its address is known.
+/// Sends commands directly to a machine if its address is known.
 fn send_directly(outbox: &mut Outbox, machine: &mut Machine, commands: Vec<WorkerCommand>) {
     let Some(address) = machine.address else {
         return;
--- a/src/engine/test_support.rs
+++ b/src/engine/test_support.rs
@@ -1,4 +1,4 @@
-//! What the unit tests of the engine's parts share.
+//! Helpers shared by the unit tests of the engine's components.
 
 use super::context::Context;
 use super::jobs::Jobs;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A context whose process has run for so many milliseconds.
+/// Returns a context `millis` milliseconds after the start of the process.
 pub(super) fn context_at(millis: u64) -> Context {
     let settings = Settings::parse(SAMPLE, "sample").unwrap();
     let mut context = Context::new(Arc::new(settings), 7);
@@ -17,25 +17,25 @@
     context
 }
 
-/// So many milliseconds after the engine's zero.
+/// Returns the time `millis` milliseconds after the zero of the monotonic clock.
 pub(super) fn instant(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
 }
 
-/// A job that may run, of so many tasks.
+/// Returns an open job with the given number of tasks.
 pub(super) fn job(kind: JobKind, tasks: u64) -> Job {
     let spec = JobSpec::from(&submission("run-1", kind, tasks));
     Job::new(spec, 1, UnixTime::default(), JobPhase::Open, instant(0))
 }
 
-/// A submission that depends on these jobs.
+/// Returns a submission that depends on the given jobs.
 pub(super) fn dependent(id: &str, depends_on: &[&str]) -> JobSubmission {
     let mut job = submission(id, JobKind::Array, 1);
     job.depends_on = depends_on.iter().map(|id| (*id).to_owned()).collect();
     job
 }
 
-/// The first task of a job, reported in that stage on `host-1`.
+/// Returns the placement of a task's first attempt on `host-1` in the given stage.
 pub(super) fn placement(stage: PlacementStage) -> Placement {
     Placement {
         machine: "host-1".into(),
@@ -46,7 +46,7 @@
     }
 }
 
-/// Jobs of which `run-1` is the only one.
+/// Returns a job collection that contains only the given job, under the id `run-1`.
 pub(super) fn jobs_with(job: Job) -> Jobs {
     let mut jobs = Jobs::default();
     jobs.insert(JobId::from("run-1"), job);
--- a/src/engine_queue.rs
+++ b/src/engine_queue.rs
@@ -1,7 +1,7 @@
-//! The bounded queue of commands for the engine, and the handle that sends to it.
+//! The bounded queue of commands for the engine, and the handle that sends to the queue.
 //!
-//! The engine has one owner, the node's driver, which alone receives from the queue. Whoever else
-//! has something for the engine holds a [`CommandSender`] handle.
+//! The node's driver owns the engine and is the only receiver of the queue. All other components
+//! send commands to the engine through a [`CommandSender`].
 
 use crate::constants;
 use crate::engine::{Command, Reply, ReplyId};
@@ -9,25 +9,25 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot};
 
-/// Where the reply to one command goes.
+/// The sender of the reply to one command.
 #[derive(Debug)]
 pub(crate) struct ReplySender {
-    /// Id of the command; the engine names it in its reply.
+    /// Id of the command, which the engine repeats in its reply.
     pub(crate) id: ReplyId,
-    /// Takes the reply. The receiver may be gone, since callers give up after some time.
+    /// Channel for the reply. The receiver may be closed, because callers time out.
     pub(crate) sender: oneshot::Sender<Reply>,
 }
 
 /// A command in the queue.
 #[derive(Debug)]
 pub(crate) struct QueuedCommand {
-    /// The command.
+    /// Command that the engine is to handle.
     pub(crate) command: Command,
-    /// Set if the sender waits for a reply.
+    /// Sender of the reply; `None` if no caller waits for one.
     pub(crate) reply: Option<ReplySender>,
 }
 
-/// Sends commands to the engine.
+/// A cloneable handle that sends commands to the engine.
 #[derive(Clone, Debug)]
 pub struct CommandSender {
     queue: mpsc::Sender<QueuedCommand>,
@@ -35,8 +35,8 @@
 }
 
 impl CommandSender {
-    /// A handle and the queue's receiving end. The queue has room for one request of each of
-    /// `connections`, and for [`constants::ENGINE_QUEUE_COMMANDS`] more.
+    /// Creates a handle and the receiving end of the queue. The queue has room for one request per
+    /// connection and for [`constants::ENGINE_QUEUE_COMMANDS`] further commands.
     pub(crate) fn new(connections: usize) -> (Self, mpsc::Receiver<QueuedCommand>) {
         let capacity = connections + constants::ENGINE_QUEUE_COMMANDS;
         let (queue, receiver) = mpsc::channel(capacity);
@@ -47,7 +47,8 @@
         (commands, receiver)
     }
 
-    /// Sends a command and waits for its reply; `None` if the queue is full or the engine is gone.
+    /// Sends a command and waits for its reply. Returns `None` if the queue is full or the engine
+    /// has ended.
     pub async fn request(&self, command: impl FnOnce(ReplyId) -> Command) -> Option<Reply> {
         let id = self.next_reply_id.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
@@ -59,13 +60,13 @@
         receiver.await.ok()
     }
 
-    /// Sends a command that must not be lost: waits until the queue has room.
+    /// Sends a command that must not be lost. Waits until the queue has room.
     pub async fn send(&self, command: Command) {
         let queued = QueuedCommand {
             command,
             reply: None,
         };
-        // Fails only if the engine is gone, which ends with the process.
+        // Fails only if the engine has ended, which happens only when the process ends.
         let _ = self.queue.send(queued).await;
     }
 }
--- a/src/engine_queue/tests.rs
+++ b/src/engine_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::model::JobId;
 
-fn cancelled() -> Command {
+fn cancellation() -> Command {
     Command::JobCancelled(JobId::from("run-1"))
 }
 
@@ -13,7 +13,7 @@
 }
 
 #[tokio::test]
-async fn a_question_gets_the_reply_to_its_id() {
+async fn request_receives_the_reply_with_its_id() {
     let (commands, mut queue) = CommandSender::new(1);
     let engine = async {
         let queued = queue.recv().await.unwrap();
@@ -23,21 +23,21 @@
         );
         reply.sender.send(Reply::Unavailable).unwrap();
     };
-    let (answer, ()) = tokio::join!(commands.request(query), engine);
-    assert_eq!(answer, Some(Reply::Unavailable));
+    let (reply, ()) = tokio::join!(commands.request(query), engine);
+    assert_eq!(reply, Some(Reply::Unavailable));
 }
 
 #[tokio::test]
-async fn a_full_queue_refuses_questions_at_once() {
+async fn request_is_refused_at_once_if_the_queue_is_full() {
     let (commands, _queue) = CommandSender::new(0);
     for _ in 0..constants::ENGINE_QUEUE_COMMANDS {
-        commands.send(cancelled()).await;
+        commands.send(cancellation()).await;
     }
     assert_eq!(commands.request(query).await, None);
 }
 
 #[tokio::test]
-async fn a_question_to_an_engine_that_is_gone_has_no_reply() {
+async fn request_gets_no_reply_if_the_engine_has_ended() {
     let (commands, queue) = CommandSender::new(1);
     drop(queue);
     assert_eq!(commands.request(query).await, None);
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -1,4 +1,4 @@
-//! The loop that feeds the engine with commands and carries out its effects.
+//! The loop that passes commands to the engine and executes the engine's effects.
 
 use crate::clock::unix_time;
 use crate::cloud::{CloudCall, CloudClient};
@@ -13,11 +13,11 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-/// Senders of the replies that the engine still owes.
+/// Senders of the replies that the engine has not given yet.
 type PendingReplies = HashMap<ReplyId, oneshot::Sender<Reply>>;
 
-/// Owns the engine's surroundings: the clients that make its calls, and the handle by which their
-/// outcomes come back.
+/// Executes the engine's effects: holds the clients that make the engine's calls, and the handle
+/// that returns the outcomes of the calls to the engine.
 pub(super) struct Driver {
     store: Arc<StoreClient>,
     cloud: Arc<CloudClient>,
@@ -40,19 +40,19 @@
         }
     }
 
-    /// Runs the engine for ever, one step for each batch of commands, and at least one in each
-    /// [`constants::ENGINE_TICK`]. Publishes the engine's status after each step.
+    /// Runs the engine until the process ends: one step for each batch of commands, and at least
+    /// one per [`constants::ENGINE_TICK`]. Publishes the engine's status after each step.
     pub(super) async fn run(
         self,
         mut engine: Engine,
-        mut inputs: mpsc::Receiver<QueuedCommand>,
+        mut queue: mpsc::Receiver<QueuedCommand>,
         status: watch::Sender<EngineStatus>,
     ) -> Infallible {
         let started = Instant::now();
         let mut pending_replies = PendingReplies::new();
         let mut batch = Vec::with_capacity(constants::MAX_ENGINE_BATCH);
         loop {
-            receive_batch(&mut inputs, &mut batch).await;
+            receive_batch(&mut queue, &mut batch).await;
             let mut commands = Vec::with_capacity(batch.len());
             for queued in batch.drain(..) {
                 if let Some(reply) = queued.reply {
@@ -62,17 +62,17 @@
             }
             let elapsed = started.elapsed();
             for effect in engine.step(elapsed, unix_time(), commands) {
-                self.carry_out(effect, &mut pending_replies);
+                self.execute(effect, &mut pending_replies);
             }
             status.send_replace(engine.status());
         }
     }
 
-    fn carry_out(&self, effect: Effect, pending_replies: &mut PendingReplies) {
+    fn execute(&self, effect: Effect, pending_replies: &mut PendingReplies) {
         match effect {
             Effect::Reply { to, reply } => {
                 if let Some(sender) = pending_replies.remove(&to) {
-                    // Fails if the caller has given up waiting.
+                    // Fails if the caller has timed out.
                     let _ = sender.send(reply);
                 }
             }
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Calls the state service in a task of its own. The task is not joined: its end is the
-    /// command with the outcome, and the client bounds its time.
+    /// Calls the state service in a spawned task. The task is not joined: it ends by sending the
+    /// outcome as a command, and the client bounds the duration of the call.
     fn call_store(&self, call_id: CallId, call: StoreCall, priority: CallPriority) {
         let store = self.store.clone();
         let commands = self.commands.clone();
@@ -105,7 +105,7 @@
         });
     }
 
-    /// Calls the cloud in a task of its own, which ends like that of [`Driver::call_store`].
+    /// Calls the cloud in a spawned task, which ends like the one of [`Driver::call_store`].
     fn call_cloud(&self, call_id: CallId, call: CloudCall) {
         let cloud = self.cloud.clone();
         let commands = self.commands.clone();
@@ -117,9 +117,9 @@
     }
 }
 
-/// Waits for commands, for at most [`constants::ENGINE_TICK`], and takes those that have come.
-async fn receive_batch(inputs: &mut mpsc::Receiver<QueuedCommand>, batch: &mut Vec<QueuedCommand>) {
-    let receiving = inputs.recv_many(batch, constants::MAX_ENGINE_BATCH);
+/// Waits at most [`constants::ENGINE_TICK`] for commands and appends the received ones to `batch`.
+async fn receive_batch(queue: &mut mpsc::Receiver<QueuedCommand>, batch: &mut Vec<QueuedCommand>) {
+    let receiving = queue.recv_many(batch, constants::MAX_ENGINE_BATCH);
     // After a timeout the batch is empty: `recv_many` is cancel-safe and loses no command.
     let _ = tokio::time::timeout(constants::ENGINE_TICK, receiving).await;
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,6 +1,7 @@
-//! A running controller node: binds the listeners, starts the node's tasks and serves for ever.
+//! A running controller node: binds the listeners, starts the node's tasks and serves until the
+//! process ends.
 //!
-//! `driver` owns the engine and carries out its effects; `peers` exchanges announcements with the
+//! `driver` owns the engine and executes its effects; `peers` exchanges announcements with the
 //! other nodes; [`crate::api`] serves users and workers.
 
 mod driver;
@@ -33,11 +34,11 @@
 }
 
 impl Node {
-    /// Binds the listeners that the settings name.
+    /// Binds the listeners to the addresses in the settings.
     ///
     /// # Errors
     ///
-    /// If an address can't be bound.
+    /// Returns an error if one of the addresses can't be bound.
     pub async fn bind(settings: Settings) -> io::Result<Node> {
         Ok(Node {
             front: TcpListener::bind(settings.front).await?,
@@ -46,11 +47,11 @@
         })
     }
 
-    /// The address at which users and workers reach the node.
+    /// Returns the address at which users and workers reach the node.
     ///
     /// # Errors
     ///
-    /// If the operating system does not tell the listener's address.
+    /// Returns an error if the operating system does not provide the listener's address.
     pub fn front(&self) -> io::Result<SocketAddr> {
         self.front.local_addr()
     }
@@ -67,7 +68,7 @@
         let http = HttpClient::default();
         let store = Arc::new(StoreClient::new(http.clone(), &settings));
         let cloud = Arc::new(CloudClient::new(http, &settings));
-        let (commands, inputs) = CommandSender::new(settings.front_connections());
+        let (commands, queue) = CommandSender::new(settings.front_connections());
         let (status_sender, status) = watch::channel(EngineStatus::default());
         let peers = Arc::new(peer_links(&settings));
         let seed = rand::random();
@@ -82,7 +83,7 @@
         let endpoint = PeerEndpoint::new(node.clone(), status.clone(), commands.clone());
 
         let mut tasks = JoinSet::new();
-        tasks.spawn(driver.run(engine, inputs, status_sender));
+        tasks.spawn(driver.run(engine, queue, status_sender));
         for index in 0..peers.len() {
             tasks.spawn(endpoint.clone().announce_to(peers.clone(), index));
         }
@@ -99,7 +100,7 @@
     }
 }
 
-/// A connection to each of the other nodes, in the order of the settings.
+/// Returns a link to each of the other nodes, in the order of the settings.
 fn peer_links(settings: &Settings) -> Vec<Link> {
     let peers = settings.peers.iter();
     peers
@@ -107,8 +108,8 @@
         .collect()
 }
 
-/// Reports tasks that end. Each runs for ever, so it can only have panicked, which in a release
-/// build ends the process before.
+/// Logs tasks that end. The tasks never return, so a task that ends has panicked. In a release
+/// build a panic aborts the process before that is logged.
 async fn watch_tasks(mut tasks: JoinSet<Infallible>) {
     while let Some(Err(error)) = tasks.join_next().await {
         tracing::error!(%error, "background task ended");
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Announcements to the other nodes, and the listener that answers them.
+//! Sends announcements to the other nodes, and responds to the messages of peers.
 
 use crate::constants;
 use crate::engine::{Command, EngineStatus, Reply};
@@ -12,7 +12,8 @@
 use tokio::task::JoinSet;
 use tokio::time::MissedTickBehavior;
 
-/// What this node tells its peers, and where it passes on what they say.
+/// This node's side of the peer protocol: announces the node's status to the peers and forwards
+/// their messages to the engine.
 #[derive(Clone)]
 pub(super) struct PeerEndpoint {
     node: String,
@@ -33,8 +34,8 @@
         }
     }
 
-    /// Announces this node to the peer at `index` at a fixed interval, and passes on the peer's
-    /// own announcement, which is the answer.
+    /// Announces this node to the peer at `index` at a fixed interval, and forwards the peer's
+    /// announcement, which is the response, to the engine.
     pub(super) async fn announce_to(self, peers: Arc<Vec<Link>>, index: usize) -> Infallible {
         let peer = &peers[index];
         let mut interval = tokio::time::interval(constants::PEER_ANNOUNCE_INTERVAL);
@@ -42,7 +43,7 @@
         loop {
             interval.tick().await;
             match peer.exchange(&self.announcement()).await {
-                Ok(Message::Announce(announcement)) => self.pass_on(announcement).await,
+                Ok(Message::Announce(announcement)) => self.forward(announcement).await,
                 Ok(_) => {}
                 Err(error) => {
                     tracing::debug!(peer = peer.node, %error, "announcement to peer failed");
@@ -51,12 +52,12 @@
         }
     }
 
-    /// Accepts connections of peers and answers them, at most
-    /// [`constants::MAX_PEER_CONNECTIONS`] at once; further ones wait to be accepted.
+    /// Accepts connections of peers and responds to their messages. Serves at most
+    /// [`constants::MAX_PEER_CONNECTIONS`] connections at once; further ones wait to be accepted.
     pub(super) async fn serve(self, listener: TcpListener) -> Infallible {
         let mut connections = JoinSet::new();
         loop {
-            // Connections report their own failures, so their ends only make room here.
+            // Connections log their own failures, so finished ones are only removed here.
             while connections.try_join_next().is_some() {}
             if connections.len() >= constants::MAX_PEER_CONNECTIONS {
                 connections.join_next().await;
@@ -70,9 +71,10 @@
     }
 
     async fn serve_connection(self, stream: TcpStream, address: SocketAddr) {
-        let Err(error) = self.answer_messages(stream).await;
+        let Err(error) = self.respond_to_messages(stream).await;
         match error {
-            // Peers restart and are cut off; a frame that can't be read is a fault of its sender.
+            // Peers restart and become unreachable, which is normal. A frame that can't be decoded
+            // is an error of its sender.
             PeerError::Io(_) | PeerError::Timeout => {
                 tracing::debug!(%address, %error, "peer connection closed");
             }
@@ -82,23 +84,28 @@
         }
     }
 
-    /// Answers a peer's messages until its connection fails.
-    async fn answer_messages(&self, mut stream: TcpStream) -> Result<Infallible, PeerError> {
+    /// Responds to a peer's messages until the connection fails.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error that ended the connection: an I/O error, a timeout, or a frame that can't
+    /// be decoded.
+    async fn respond_to_messages(&self, mut stream: TcpStream) -> Result<Infallible, PeerError> {
         stream.set_nodelay(true)?;
         loop {
             let message =
                 tokio::time::timeout(constants::PEER_IDLE_TIMEOUT, read_frame(&mut stream))
                     .await
                     .unwrap_or(Err(PeerError::Timeout))?;
-            let answer = self.answer(message).await;
-            write_frame(&mut stream, &answer).await?;
+            let response = self.respond(message).await;
+            write_frame(&mut stream, &response).await?;
         }
     }
 
-    async fn answer(&self, message: Message) -> Message {
+    async fn respond(&self, message: Message) -> Message {
         match message {
             Message::Announce(announcement) => {
-                self.pass_on(announcement).await;
+                self.forward(announcement).await;
                 self.announcement()
             }
             Message::Count { job } => self.task_counts(&job).await,
@@ -111,7 +118,8 @@
         }
     }
 
-    /// The engine's counts of a job's tasks; [`Message::Nothing`] if it has none.
+    /// Returns the engine's counts of a job's tasks, or [`Message::Nothing`] if the engine has no
+    /// counts of this job.
     async fn task_counts(&self, job: &str) -> Message {
         let count_tasks = |reply| Command::CountTasks {
             job: job.into(),
@@ -126,7 +134,7 @@
         }
     }
 
-    async fn pass_on(&self, announcement: Announcement) {
+    async fn forward(&self, announcement: Announcement) {
         let announced = Command::PeerAnnounced(announcement);
         self.commands.send(announced).await;
     }
--- a/src/node/peers/tests.rs
+++ b/src/node/peers/tests.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A peer's listener with what its engine would see.
-struct Served {
+/// A running peer listener, with the command queue that an engine would receive from.
+struct TestEndpoint {
     address: SocketAddr,
-    inputs: mpsc::Receiver<QueuedCommand>,
+    queue: mpsc::Receiver<QueuedCommand>,
     _status: watch::Sender<EngineStatus>,
 }
 
-/// Serves peers as node `n0`, which leads with term 7.
-async fn serve() -> Served {
-    let (commands, inputs) = CommandSender::new(0);
+/// Starts the listener of node `n0`, which leads in term 7.
+async fn serve_peers() -> TestEndpoint {
+    let (commands, queue) = CommandSender::new(0);
     let (status_sender, status) = watch::channel(EngineStatus {
         term: 7,
         store_reachable: true,
@@ -21,9 +21,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(PeerEndpoint::new("n0".into(), status, commands).serve(listener));
-    Served {
+    TestEndpoint {
         address,
-        inputs,
+        queue,
         _status: status_sender,
     }
 }
@@ -42,44 +42,47 @@
 }
 
 #[tokio::test]
-async fn announcements_are_answered_and_passed_on() {
-    let mut served = serve().await;
-    let mut stream = TcpStream::connect(served.address).await.unwrap();
+async fn announcement_is_answered_and_forwarded() {
+    let mut endpoint = serve_peers().await;
+    let mut stream = TcpStream::connect(endpoint.address).await.unwrap();
     let sent = announcement("n1", 3);
-    let answer = exchange(&mut stream, &Message::Announce(sent.clone())).await;
-    assert_eq!(answer, Message::Announce(announcement("n0", 7)));
-    let queued = served.inputs.recv().await.unwrap();
-    assert!(matches!(queued.command, Command::PeerAnnounced(passed_on) if passed_on == sent));
+    let response = exchange(&mut stream, &Message::Announce(sent.clone())).await;
+    assert_eq!(response, Message::Announce(announcement("n0", 7)));
+    let queued = endpoint.queue.recv().await.unwrap();
+    assert!(matches!(queued.command, Command::PeerAnnounced(forwarded) if forwarded == sent));
     assert!(queued.reply.is_none());
 }
 
 #[tokio::test]
-async fn cancellations_are_passed_on() {
-    let mut served = serve().await;
-    let mut stream = TcpStream::connect(served.address).await.unwrap();
+async fn cancellation_is_forwarded() {
+    let mut endpoint = serve_peers().await;
+    let mut stream = TcpStream::connect(endpoint.address).await.unwrap();
     let cancelled = Message::Cancelled {
         job: "run-1".into(),
     };
     assert_eq!(exchange(&mut stream, &cancelled).await, Message::Nothing);
-    let queued = served.inputs.recv().await.unwrap();
+    let queued = endpoint.queue.recv().await.unwrap();
     assert!(matches!(queued.command, Command::JobCancelled(job) if job == "run-1".into()));
 }
 
 #[tokio::test]
-async fn connections_beyond_the_limit_wait_until_one_is_closed() {
-    let served = serve().await;
+async fn connection_beyond_the_limit_is_accepted_when_another_one_closes() {
+    let endpoint = serve_peers().await;
     let hello = Message::Announce(announcement("n1", 0));
     let mut streams = Vec::new();
     for _ in 0..constants::MAX_PEER_CONNECTIONS {
-        let mut stream = TcpStream::connect(served.address).await.unwrap();
+        let mut stream = TcpStream::connect(endpoint.address).await.unwrap();
         exchange(&mut stream, &hello).await;
         streams.push(stream);
     }
-    let mut late = TcpStream::connect(served.address).await.unwrap();
+    let mut late = TcpStream::connect(endpoint.address).await.unwrap();
     write_frame(&mut late, &hello).await.unwrap();
     let short = Duration::from_millis(100);
-    let early_answer = tokio::time::timeout(short, late.readable()).await;
-    assert!(early_answer.is_err(), "the connection is not accepted yet");
+    let early_response = tokio::time::timeout(short, late.readable()).await;
+    assert!(
+        early_response.is_err(),
+        "a connection beyond the limit was accepted"
+    );
     streams.pop();
     assert_eq!(
         read_frame(&mut late).await.unwrap(),
