--- a/src/engine/authority.rs
+++ b/src/engine/authority.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the leader in whose place this node may respond to heartbeats: the state service
-    /// names another node as the leader, and that node sends this one no announcements.
+    /// names another node as the leader, and no recent announcement of that node has been received.
     ///
     /// Workers that can't reach the leader from here get responses only to renew their leases and
     /// to receive cancellations. As for the leader itself, this permission ends one grace period
