--- a/src/engine/heartbeats/responses.rs
+++ b/src/engine/heartbeats/responses.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether a response to the machine waits.
-    pub(in crate::engine) fn has_for(&self, machine: &MachineId) -> bool {
+    pub(in crate::engine) fn has_response_for(&self, machine: &MachineId) -> bool {
         let mut responses = self.responses.iter();
         responses.any(|response| response.machine == *machine)
     }
--- a/src/engine/stopping.rs
+++ b/src/engine/stopping.rs
@@ -74,7 +74,7 @@
     pub(super) fn request_heartbeat(&mut self, id: &MachineId) {
         let now = self.context.now();
         let min_interval = self.context.timing().worker_lease / 2;
-        if self.pending_responses.has_for(id) {
+        if self.pending_responses.has_response_for(id) {
             return;
         }
         let leader = self.leadership.leader_mut();
