--- a/src/engine/heartbeats/exits.rs
+++ b/src/engine/heartbeats/exits.rs
@@ -1,4 +1,4 @@
-//! Handles tasks that have exited: completions, failures, and refused starts.
+//! Handles tasks that have exited: completions, failures and refused starts.
 
 use crate::engine::Engine;
 use crate::model::{JobPhase, MachineId, TaskId};
@@ -6,31 +6,31 @@
 use crate::wire::worker::{ExitReason, Task};
 
 impl Engine {
-    /// A task has left its machine and says why.
+    /// Handles a task that the heartbeat of its machine reports as exited.
     pub(super) fn on_task_exited(&mut self, machine: &MachineId, id: &TaskId, task: &Task) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
         };
-        let placed_here = job.placements.get(&id.index).is_some_and(|placement| {
+        let is_placed_here = job.placements.get(&id.index).is_some_and(|placement| {
             placement.machine == *machine && placement.attempt == task.attempt
         });
         let completed = task.exit_reason == Some(ExitReason::Completed);
-        if placed_here {
+        if is_placed_here {
             self.remove_placement(id);
         } else if !completed || job.spec.kind != JobKind::Array {
             return;
         }
         match task.exit_reason {
             Some(ExitReason::Completed) => self.on_task_completed(machine, id),
-            Some(reason) if placed_here => self.on_task_ended(machine, id, reason),
+            Some(reason) if is_placed_here => self.on_task_exited_incomplete(machine, id, reason),
             _ => {}
         }
         self.stop_rest_of_gang(&id.job);
         self.finish_job_if_over(&id.job);
     }
 
-    /// A task that was placed on the machine has ended there without completing.
-    fn on_task_ended(&mut self, machine: &MachineId, id: &TaskId, reason: ExitReason) {
+    /// Handles a task that was placed on the machine and exited there without completing.
+    fn on_task_exited_incomplete(&mut self, machine: &MachineId, id: &TaskId, reason: ExitReason) {
         match reason {
             ExitReason::Failed => self.on_task_failed(machine, &id.job),
             ExitReason::UnknownTask => {
@@ -53,14 +53,15 @@
             return;
         };
         job.consecutive_failures = 0;
-        // A second attempt of a task that has completed has nothing left to do.
-        if let Some(other) = job.placements.get_mut(&id.index) {
-            other.request_stop(0, now);
+        // If the task completed, another attempt of it that is still placed is redundant and is
+        // stopped.
+        if let Some(other_attempt) = job.placements.get_mut(&id.index) {
+            other_attempt.request_stop(0, now);
         }
         let all_completed = job.complete(id.index);
         let failed_on = std::mem::take(&mut job.failed_on);
         if job.is_gang() && !job.placements.is_empty() {
-            // They complete together; what does not is stopped.
+            // The tasks of a gang complete together. Tasks that are still placed are stopped.
             job.stop_all_tasks(0, now);
         }
         self.attribute_failures(machine, &failed_on);
@@ -75,9 +76,9 @@
         }
     }
 
-    /// Whether the worker may forget a task that has exited. Only a completion has to be durable
-    /// first: any other end just makes the task wait again, which is also what a new leader
-    /// concludes when the machine no longer names it.
+    /// Reports whether the worker may forget a task that has exited. Only a completion has to be
+    /// durable first. After any other exit the task is queued again; a new leader does the same with
+    /// a task that its machine no longer reports.
     pub(super) fn may_forget(&self, id: &TaskId, task: &Task) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
             return true;
--- a/src/engine/heartbeats/failures.rs
+++ b/src/engine/heartbeats/failures.rs
@@ -1,4 +1,4 @@
-//! Failure attribution: whether the machine or the job is at fault when a task fails.
+//! Failure attribution: decides whether a failed task is due to its machine or to its job.
 
 use crate::constants;
 use crate::engine::Engine;
@@ -6,8 +6,9 @@
 use std::collections::BTreeSet;
 
 impl Engine {
-    /// A task failed. A machine on which several jobs fail is quarantined; a job that later
-    /// completes elsewhere shows that the machine was at fault.
+    /// Handles the failure of a task: delays the job's restart and counts the failure against the
+    /// machine. A machine on which [`constants::QUARANTINE_AFTER_JOBS`] jobs have failed is
+    /// quarantined.
     pub(super) fn on_task_failed(&mut self, machine: &MachineId, id: &JobId) {
         self.delay_restart(id);
         if let Some(job) = self.jobs.get_mut(id) {
@@ -23,22 +24,27 @@
         }
     }
 
-    /// A job has completed a task on `good`: machines on which it failed are at fault.
-    pub(super) fn attribute_failures(&mut self, good: &MachineId, failed_on: &BTreeSet<MachineId>) {
+    /// Handles a job's completion of a task on `succeeded_on`. The other machines, on which the job
+    /// failed before, are taken to be at fault and are quarantined.
+    pub(super) fn attribute_failures(
+        &mut self,
+        succeeded_on: &MachineId,
+        failed_on: &BTreeSet<MachineId>,
+    ) {
         let Some(leader) = self.leadership.leader_mut() else {
             return;
         };
-        if let Some(machine) = leader.machines.get_mut(good) {
+        if let Some(machine) = leader.machines.get_mut(succeeded_on) {
             machine.failed_jobs.clear();
         }
-        for id in failed_on.iter().filter(|id| *id != good) {
+        for id in failed_on.iter().filter(|id| *id != succeeded_on) {
             if let Some(machine) = leader.machines.get_mut(id) {
                 quarantine(machine);
             }
         }
     }
 
-    /// Keeps a job from starting for a time that doubles with each failure in a row.
+    /// Delays the job's next start by a backoff that doubles with each consecutive failure.
     pub(super) fn delay_restart(&mut self, id: &JobId) {
         let now = self.context.now();
         if let Some(job) = self.jobs.get_mut(id) {
@@ -50,6 +56,7 @@
     }
 }
 
+/// Quarantines the machine, unless it is quarantined already.
 fn quarantine(machine: &mut Machine) {
     if !machine.quarantined {
         tracing::info!(machine = %machine.id, "machine quarantined");
--- a/src/engine/heartbeats/follower.rs
+++ b/src/engine/heartbeats/follower.rs
@@ -1,5 +1,5 @@
-//! Serves heartbeats on a node that does not lead: a worker is redirected to the leader, or, while
-//! that is unreachable, answered in its place.
+//! Serves heartbeats on a follower: the worker is redirected to the leader or, while this node cannot
+//! reach the leader, served in the leader's place.
 
 use crate::engine::Engine;
 use crate::engine::messages::Reply;
@@ -7,16 +7,17 @@
 use crate::wire::worker::{Heartbeat, HeartbeatResponse};
 
 impl Engine {
-    /// The reply of a node that does not lead.
+    /// Returns a follower's reply to a heartbeat: a response in the leader's place, a redirect, or
+    /// [`Reply::Unavailable`] if no other node is known to lead.
     pub(super) fn respond_as_follower(&mut self, heartbeat: &Heartbeat) -> Reply {
-        let seen = FencingToken(heartbeat.fencing_token);
-        let unreachable = self.unreachable_leader();
-        let term = unreachable.map(|leader| leader.term);
-        let term = term.filter(|term| seen.term() <= *term);
+        let worker_token = FencingToken(heartbeat.fencing_token);
+        let unreachable_leader = self.unreachable_leader();
+        let term = unreachable_leader.map(|leader| leader.term);
+        let term = term.filter(|term| worker_token.term() <= *term);
         if let Some(term) = term
-            && self.serves_in_place_of_leader(&heartbeat.machine, seen.term() == term)
+            && self.should_serve_in_place_of_leader(&heartbeat.machine, worker_token.term() == term)
         {
-            let fencing_token = seen.max(FencingToken::first_of_term(term)).0;
+            let fencing_token = worker_token.max(FencingToken::first_of_term(term)).0;
             return Reply::HeartbeatAccepted(HeartbeatResponse {
                 fencing_token,
                 commands: self.stops_of_cancelled_jobs(heartbeat),
@@ -29,10 +30,11 @@
         }
     }
 
-    fn serves_in_place_of_leader(&mut self, machine: &str, knows_term: bool) -> bool {
+    /// Reports whether this node responds to the worker's heartbeat in the leader's place.
+    fn should_serve_in_place_of_leader(&mut self, machine: &str, has_seen_term: bool) -> bool {
         let now = self.context.now();
         let lease = self.context.timing().worker_lease;
         self.redirects
-            .serves(MachineId::from(machine), knows_term, now, lease)
+            .should_serve(MachineId::from(machine), has_seen_term, now, lease)
     }
 }
--- a/src/engine/heartbeats/mod.rs
+++ b/src/engine/heartbeats/mod.rs
@@ -1,14 +1,15 @@
-//! Workers' heartbeats: reconciled with the model, and answered with commands.
+//! Workers' heartbeats, which are reconciled with the model and answered with commands.
 //!
-//! Starts travel only in responses to heartbeats. A worker drops a response that comes late, so a
-//! start is either executed before the worker's next heartbeat or never: a newer heartbeat that
-//! does not name it proves that the task is not there. Stops are sent directly as well; a late one
-//! cannot harm, since it names the attempt.
+//! Starts are sent only in responses to heartbeats. A worker drops a late response, so it executes
+//! a start before its next heartbeat or not at all: a newer heartbeat that does not list the task
+//! proves that the task is not on the machine. Stops are also sent directly. A late stop is
+//! harmless, because it names the attempt that it applies to.
 //!
-//! [`machine_status`] records what a heartbeat says of its machine, [`reconciliation`] compares its
-//! tasks with the model, [`exits`] handles tasks that have exited, [`responses`] puts the commands
-//! together, [`follower`] serves heartbeats on a node that does not lead, and [`failures`] finds out
-//! whether machine or job is at fault.
+//! [`machine_status`] records the status of the machine, [`reconciliation`] compares the reported
+//! tasks with the model, [`exits`] handles tasks that have exited, [`responses`] assembles the
+//! commands, [`follower`] serves heartbeats on a follower, [`redirects`] remembers which workers a
+//! follower has redirected or served, and [`failures`] decides whether a failed task is due to its
+//! machine or to its job.
 
 mod exits;
 mod failures;
@@ -28,8 +29,8 @@
 use crate::wire::worker::{Heartbeat, HeartbeatResponse, Task, TaskState, WorkerCommand};
 use responses::PendingResponse;
 
-/// Whether a worker has seen this leader's term. Until then commands of an earlier leader may
-/// still be on their way to it.
+/// Whether a worker has seen this leader's term. Until it has, commands of an earlier leader may
+/// still be in flight to the worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TermConfirmation {
     Confirmed,
@@ -37,53 +38,56 @@
 }
 
 impl Engine {
-    /// Handles a worker's heartbeat. A node that may not respond says so at once; a leader's
-    /// response to a heartbeat that confirms its term is given at the end of the step.
-    pub(super) fn on_heartbeat(&mut self, heartbeat: &Heartbeat, to: ReplyId) {
+    /// Handles a worker's heartbeat. A leader's response to a heartbeat that confirms the term is sent
+    /// at the end of the step or later; every other reply is sent immediately.
+    pub(super) fn on_heartbeat(&mut self, heartbeat: &Heartbeat, reply_id: ReplyId) {
         let Some(leader) = self.leadership.leader() else {
             let reply = self.respond_as_follower(heartbeat);
-            return self.outbox.reply(to, reply);
+            return self.outbox.reply(reply_id, reply);
         };
-        let seen = FencingToken(heartbeat.fencing_token);
-        if seen.term() > leader.term() {
-            // The worker has seen a later leader.
-            self.leadership.observe_term(seen.term());
+        let worker_token = FencingToken(heartbeat.fencing_token);
+        if worker_token.term() > leader.term() {
+            // The worker has seen a leader of a higher term.
+            self.leadership.observe_term(worker_token.term());
             self.step_down(StepDownReason::WorkerHasHigherTerm);
-            return self.outbox.reply(to, Reply::RedirectToLeader(None));
+            return self.outbox.reply(reply_id, Reply::RedirectToLeader(None));
         }
         if !self.may_respond_as_leader() {
-            return self.outbox.reply(to, Reply::Unavailable);
+            return self.outbox.reply(reply_id, Reply::Unavailable);
         }
-        let confirmation = match seen.term() == leader.term() {
+        let confirmation = match worker_token.term() == leader.term() {
             true => TermConfirmation::Confirmed,
             false => TermConfirmation::Unconfirmed,
         };
         let machine = MachineId::from(&*heartbeat.machine);
-        let fencing_token = leader.fencing_token_for(&machine, seen).0;
-        let recovered = leader.has_recovered();
-        // Before the records are read, or until the worker confirms the term, its lease is renewed
-        // and it is told of cancellations, nothing else.
-        if recovered
+        let fencing_token = leader.fencing_token_for(&machine, worker_token).0;
+        let has_recovered = leader.has_recovered();
+        // Until recovery is complete and the worker has confirmed the term, the response only renews
+        // the worker's lease and stops the tasks of cancelled jobs.
+        if has_recovered
             && self.record_machine_status(heartbeat, confirmation)
             && confirmation == TermConfirmation::Confirmed
         {
             let commands = self.reconcile(heartbeat);
             let sequence = sequence_of(heartbeat);
             let now = self.context.now();
-            self.pending_responses
-                .add(PendingResponse::new(to, machine, sequence, commands, now));
+            self.pending_responses.add(PendingResponse::new(
+                reply_id, machine, sequence, commands, now,
+            ));
         } else {
             let response = HeartbeatResponse {
                 fencing_token,
                 commands: self.stops_of_cancelled_jobs(heartbeat),
             };
-            self.outbox.reply(to, Reply::HeartbeatAccepted(response));
+            self.outbox
+                .reply(reply_id, Reply::HeartbeatAccepted(response));
         }
     }
 
-    /// Stops of the heartbeat's tasks whose jobs are cancelled. They go with every response that
-    /// renews a lease: leaders that end one after the other before they have recovered, when the
-    /// state service is slow, would else keep alive for ever what nobody stops.
+    /// Returns stops for the reported tasks whose jobs are cancelled. Every response that renews a
+    /// lease carries them. Otherwise, if the state service is slow and leaders step down one after
+    /// another before they have recovered, they would keep renewing the worker's lease while its
+    /// cancelled tasks are never stopped.
     fn stops_of_cancelled_jobs(&self, heartbeat: &Heartbeat) -> Vec<WorkerCommand> {
         let is_cancelled = |task: &&Task| {
             let id = TaskId::parse(&task.task);
@@ -96,7 +100,7 @@
     }
 }
 
-/// The place of a heartbeat in the order of its machine's messages.
+/// Returns the sequence number of a heartbeat, which orders the messages of its machine.
 fn sequence_of(heartbeat: &Heartbeat) -> HeartbeatSequence {
     HeartbeatSequence {
         incarnation: heartbeat.incarnation,
@@ -104,7 +108,7 @@
     }
 }
 
-/// A stop without time for a checkpoint, for a task that must not be on its machine.
+/// Returns a stop that leaves no time for a checkpoint, for a task that must not run on its machine.
 fn stop_at_once(task: &Task) -> WorkerCommand {
     WorkerCommand::Stop {
         task: task.task.clone(),
--- a/src/engine/heartbeats/reconciliation.rs
+++ b/src/engine/heartbeats/reconciliation.rs
@@ -1,7 +1,7 @@
-//! Reconciliation: the tasks of a heartbeat are compared with the model.
+//! Reconciliation: compares the tasks that a heartbeat reports with the model.
 //!
-//! A task that the heartbeat names and the model does not is orphaned and stopped; the placement of
-//! a task that the heartbeat does not name is removed, once the task is proven to be gone.
+//! A task that is reported but not placed on the machine is orphaned and is stopped. The placement
+//! of a task that is not reported is removed once the task is proven to be gone.
 
 use super::{sequence_of, stop_at_once};
 use crate::constants;
@@ -10,12 +10,12 @@
 use crate::wire::worker::{Heartbeat, Task, TaskState, WorkerCommand};
 use std::collections::BTreeSet;
 
-/// Attempts of tasks.
+/// Task attempts, each as the task's id and the number of the attempt.
 type Attempts = BTreeSet<(TaskId, u64)>;
 
 impl Engine {
-    /// Compares the newest heartbeat of a machine, which confirms this leader's term, with the
-    /// model; the commands that follow from it.
+    /// Reconciles the newest heartbeat of a machine, which confirms this leader's term, with the
+    /// model. Returns the commands that result.
     pub(super) fn reconcile(&mut self, heartbeat: &Heartbeat) -> Vec<WorkerCommand> {
         let machine = MachineId::from(&*heartbeat.machine);
         let mut commands = Vec::new();
@@ -27,27 +27,29 @@
                 tracing::debug!(%machine, task = task.task, "heartbeat names no task");
                 continue;
             };
-            let first = reported.insert((id.clone(), task.attempt));
+            let is_new = reported.insert((id.clone(), task.attempt));
             if task.state == TaskState::Exited {
                 commands.extend(self.reconcile_exited(&machine, &id, task));
             } else if self.reconcile_present(&machine, &id, task) {
-                expected_tasks += usize::from(first);
+                expected_tasks += usize::from(is_new);
             } else {
                 commands.push(stop_at_once(task));
                 orphaned.insert((id, task.attempt));
             }
         }
-        // Mostly the machine has exactly what is placed on it.
+        // In the common case the machine reports exactly the tasks that are placed on it, and the
+        // search for absent tasks is skipped.
         let leader = self.leadership.leader();
-        let placed = leader.and_then(|leader| leader.machines.get(&machine));
-        if placed.is_some_and(|placed| placed.tasks.len() != expected_tasks) {
+        let fleet_machine = leader.and_then(|leader| leader.machines.get(&machine));
+        if fleet_machine.is_some_and(|fleet_machine| fleet_machine.tasks.len() != expected_tasks) {
             self.remove_absent_tasks(&machine, sequence_of(heartbeat), &reported);
         }
         self.record_orphaned_tasks(&machine, orphaned);
         commands
     }
 
-    /// A task that has exited; the worker is told to forget it once its end needs no proof any more.
+    /// Handles a task that has exited. Returns a command to forget the task once the leader no longer
+    /// needs the worker to report the exit.
     fn reconcile_exited(
         &mut self,
         machine: &MachineId,
@@ -61,6 +63,7 @@
         })
     }
 
+    /// Records the machine's orphaned tasks, and that the machine is in use if tasks are placed on it.
     fn record_orphaned_tasks(&mut self, id: &MachineId, orphaned: Attempts) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -77,7 +80,8 @@
         });
     }
 
-    /// A task that has not exited; false if this attempt is not placed on its machine.
+    /// Handles a task that has not exited. Returns false if this attempt is not placed on the
+    /// machine.
     fn reconcile_present(&mut self, machine: &MachineId, id: &TaskId, task: &Task) -> bool {
         let now = self.context.now();
         let Some(placement) = self.jobs.placement_mut(id) else {
@@ -90,13 +94,13 @@
         if placement.stage == reported {
             return true;
         }
-        let first = !matches!(placement.stage, PlacementStage::Reported(_));
+        let is_first_report = !matches!(placement.stage, PlacementStage::Reported(_));
         placement.stage = reported;
-        if first {
+        if is_first_report {
             placement.stage_since = now;
         }
         if let Some(leader) = self.leadership.leader_mut() {
-            if first {
+            if is_first_report {
                 leader.scheduling.request();
             }
             leader.machines.mark_dirty(machine);
@@ -108,7 +112,7 @@
         true
     }
 
-    /// Records that the machine has the job's image now.
+    /// Records that the machine has the job's image in its cache.
     fn record_image(&mut self, machine: &MachineId, job: &JobId) {
         let Some(job) = self.jobs.get(job) else {
             return;
@@ -122,8 +126,8 @@
         machine.use_image(&job.spec.image, job.spec.image_gb, cache_gb);
     }
 
-    /// Removes the placements of tasks that the machine's newest heartbeat does not name and that are
-    /// surely gone.
+    /// Removes the placements of tasks that the machine's newest heartbeat does not report and that
+    /// are proven to be gone.
     fn remove_absent_tasks(
         &mut self,
         machine: &MachineId,
@@ -131,13 +135,14 @@
         reported: &Attempts,
     ) {
         for task in self.absent_tasks(machine, reported) {
-            if self.is_gone(&task, sequence) {
+            if self.is_proven_gone(&task, sequence) {
                 tracing::debug!(%task, %machine, "task is gone from its machine");
                 self.handle_lost_task(&task);
             }
         }
     }
 
+    /// Returns the tasks that are placed on the machine and not among the reported attempts.
     fn absent_tasks(&self, id: &MachineId, reported: &Attempts) -> Vec<TaskId> {
         let leader = self.leadership.leader();
         let Some(machine) = leader.and_then(|leader| leader.machines.get(id)) else {
@@ -151,22 +156,22 @@
         machine.tasks.iter().filter(is_absent).cloned().collect()
     }
 
-    /// Whether a task that its machine's heartbeat of this number does not name is surely not there,
-    /// and is not to be sent again.
-    fn is_gone(&self, task: &TaskId, sequence: HeartbeatSequence) -> bool {
+    /// Reports whether a task that the machine's heartbeat `sequence` does not report is proven to be
+    /// gone and its start is not to be sent again.
+    fn is_proven_gone(&self, task: &TaskId, sequence: HeartbeatSequence) -> bool {
         let Some(placement) = self.jobs.placement(task) else {
             return false;
         };
-        let stopping = placement.stop_request.is_some();
+        let stop_requested = placement.stop_request.is_some();
         match placement.stage {
             PlacementStage::Planned => false,
-            PlacementStage::Starting { sent: None, .. } => stopping,
-            // Not there although the start was sent: lost on the way. It is sent again unless that
-            // was tried often enough.
+            PlacementStage::Starting { sent: None, .. } => stop_requested,
+            // The start was sent before this heartbeat and the task is not reported, so the start
+            // was lost. It is sent again, up to MAX_START_RESENDS times.
             PlacementStage::Starting {
                 sent: Some(sent),
                 resends,
-            } => sent < sequence && (resends >= constants::MAX_START_RESENDS || stopping),
+            } => sent < sequence && (resends >= constants::MAX_START_RESENDS || stop_requested),
             PlacementStage::Reported(_) => true,
         }
     }
--- a/src/engine/heartbeats/redirects.rs
+++ b/src/engine/heartbeats/redirects.rs
@@ -1,27 +1,29 @@
-//! What a node has done with the workers of a leader that it can't reach.
+//! Records which workers a follower has redirected to, or served in place of, a leader that it cannot
+//! reach.
 
 use crate::constants;
 use crate::model::{MachineId, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a node has done with one worker.
+/// The redirects and responses that a follower has given to one worker.
 #[derive(Debug, Clone, Copy, Default)]
 struct Redirect {
-    /// When the worker was last redirected to the leader.
+    /// Time at which the worker was last redirected to the leader.
     redirected_at: Timestamp,
-    /// Until when it is answered in the leader's place.
+    /// Time until which the worker is served in the leader's place.
     served_until: Timestamp,
 }
 
 impl Redirect {
-    /// Whether it is to be remembered: for a worker's lease after either.
+    /// Reports whether the entry is still kept: for one worker lease after the later of the two
+    /// times.
     fn is_recent(&self, now: Timestamp, lease: Duration) -> bool {
         now < self.redirected_at.max(self.served_until) + lease
     }
 }
 
-/// The workers that were redirected, or are answered in the leader's place.
+/// The workers that were redirected or are served in the leader's place.
 #[derive(Debug, Default)]
 pub(in crate::engine) struct Redirects {
     by_machine: BTreeMap<MachineId, Redirect>,
@@ -29,45 +31,49 @@
 }
 
 impl Redirects {
-    /// Whether to answer this worker in the place of a leader that can't be reached from here, or
-    /// to redirect it to that leader once more. That this node doesn't hear the leader does not mean
-    /// that the worker can't reach it: connections between nodes may be refused while all else
-    /// works, and a new machine must not be kept from its leader. A worker that knows the term has
-    /// lost its leader; any other is redirected first, and answered when it comes back; and all are
-    /// redirected again after half a lease.
-    pub(super) fn serves(
+    /// Decides whether this node serves the worker in place of a leader that the node cannot reach
+    /// (true) or redirects the worker to that leader (false), and records the decision.
+    ///
+    /// The worker may be able to reach the leader although this node cannot: connections between
+    /// nodes may be refused while all other connections work, and a new machine must not be kept from
+    /// its leader. A worker that has seen the leader's term has lost its connection to the leader and
+    /// is served immediately. Any other worker is redirected first, and served if it comes back. Every
+    /// worker is redirected again after half a lease.
+    pub(super) fn should_serve(
         &mut self,
         machine: MachineId,
-        knows_term: bool,
+        has_seen_term: bool,
         now: Timestamp,
         lease: Duration,
     ) -> bool {
-        self.forget_old(now, lease);
-        let known = self.by_machine.get(&machine).copied();
-        let known = known.filter(|redirect| redirect.is_recent(now, lease));
-        if known.is_some_and(|redirect| now < redirect.served_until) {
+        self.remove_expired(now, lease);
+        let entry = self.by_machine.get(&machine).copied();
+        let entry = entry.filter(|redirect| redirect.is_recent(now, lease));
+        if entry.is_some_and(|redirect| now < redirect.served_until) {
             return true;
         }
-        // Redirected, and back before its lease could have expired; or never redirected here.
-        let came_back = known.map_or(knows_term, |redirect| {
+        // The worker was redirected and has come back before its lease could have expired, or it has
+        // no recent entry and has seen the term.
+        let should_serve_now = entry.map_or(has_seen_term, |redirect| {
             redirect.redirected_at > redirect.served_until
         });
-        let full = self.by_machine.len() >= constants::MAX_REDIRECTS_REMEMBERED;
-        if full && known.is_none() {
-            return came_back;
+        let is_full = self.by_machine.len() >= constants::MAX_REDIRECTS_REMEMBERED;
+        if is_full && entry.is_none() {
+            return should_serve_now;
         }
-        let mut redirect = known.unwrap_or_default();
-        if came_back {
+        let mut redirect = entry.unwrap_or_default();
+        if should_serve_now {
             redirect.served_until = now + lease / 2;
         } else {
             redirect.redirected_at = now;
         }
         self.by_machine.insert(machine, redirect);
-        came_back
+        should_serve_now
     }
 
-    /// Not at each heartbeat: there may be thousands of both.
-    fn forget_old(&mut self, now: Timestamp, lease: Duration) {
+    /// Removes entries that are no longer recent, at most once per housekeeping interval: there may
+    /// be thousands of entries and thousands of heartbeats.
+    fn remove_expired(&mut self, now: Timestamp, lease: Duration) {
         if now >= self.next_cleanup_at {
             self.next_cleanup_at = now + constants::HOUSEKEEPING_INTERVAL;
             self.by_machine
--- a/src/engine/heartbeats/redirects/tests.rs
+++ b/src/engine/heartbeats/redirects/tests.rs
@@ -3,34 +3,40 @@
 
 const LEASE: Duration = Duration::from_secs(17);
 
-fn serves(redirects: &mut Redirects, knows_term: bool, millis: u64) -> bool {
-    redirects.serves("host-1".into(), knows_term, instant(millis), LEASE)
+fn should_serve(redirects: &mut Redirects, has_seen_term: bool, millis: u64) -> bool {
+    redirects.should_serve("host-1".into(), has_seen_term, instant(millis), LEASE)
 }
 
 #[test]
-fn a_worker_that_knows_the_term_is_served_for_half_a_lease() {
+fn worker_that_has_seen_the_term_is_served_for_half_a_lease() {
     let mut redirects = Redirects::default();
-    assert!(serves(&mut redirects, true, 0));
-    assert!(serves(&mut redirects, true, 8_499));
-    assert!(!serves(&mut redirects, true, 8_501), "redirected once more");
-    assert!(serves(&mut redirects, true, 9_500), "it came back");
+    assert!(should_serve(&mut redirects, true, 0));
+    assert!(should_serve(&mut redirects, true, 8_499));
+    assert!(
+        !should_serve(&mut redirects, true, 8_501),
+        "redirected again after half a lease"
+    );
+    assert!(
+        should_serve(&mut redirects, true, 9_500),
+        "served after the redirect"
+    );
 }
 
 #[test]
-fn any_other_worker_is_redirected_first() {
+fn worker_that_has_not_seen_the_term_is_redirected_before_it_is_served() {
     let mut redirects = Redirects::default();
-    assert!(!serves(&mut redirects, false, 1));
-    assert!(serves(&mut redirects, false, 1_000));
+    assert!(!should_serve(&mut redirects, false, 1));
+    assert!(should_serve(&mut redirects, false, 1_000));
 }
 
 #[test]
-fn old_redirects_are_forgotten() {
+fn expired_redirects_are_removed() {
     let mut redirects = Redirects::default();
-    assert!(!serves(&mut redirects, false, 1));
+    assert!(!should_serve(&mut redirects, false, 1));
     assert!(
-        !serves(&mut redirects, false, 20_000),
-        "as if for the first time"
+        !should_serve(&mut redirects, false, 20_000),
+        "redirected first, since the earlier redirect has expired"
     );
-    redirects.forget_old(instant(90_000), LEASE);
+    redirects.remove_expired(instant(90_000), LEASE);
     assert!(redirects.by_machine.is_empty());
 }
--- a/src/engine/heartbeats/responses.rs
+++ b/src/engine/heartbeats/responses.rs
@@ -9,28 +9,29 @@
 };
 use crate::wire::worker::{HeartbeatResponse, WorkerCommand};
 
-/// A heartbeat that has been reconciled and waits for its response.
+/// The pending response to a heartbeat that has been reconciled.
 #[derive(Debug)]
 pub(in crate::engine) struct PendingResponse {
-    to: ReplyId,
+    reply_id: ReplyId,
     machine: MachineId,
     sequence: HeartbeatSequence,
-    /// Commands that follow from the heartbeat itself.
+    /// Commands that result from the heartbeat itself.
     commands: Vec<WorkerCommand>,
-    /// When the heartbeat came in.
+    /// Time at which the heartbeat was received.
     received_at: Timestamp,
 }
 
 impl PendingResponse {
+    /// Creates the pending response to a heartbeat.
     pub(super) fn new(
-        to: ReplyId,
+        reply_id: ReplyId,
         machine: MachineId,
         sequence: HeartbeatSequence,
         commands: Vec<WorkerCommand>,
         received_at: Timestamp,
     ) -> Self {
         PendingResponse {
-            to,
+            reply_id,
             machine,
             sequence,
             commands,
@@ -39,61 +40,65 @@
     }
 }
 
-/// Responses that wait for the end of the step, or for a round that is being written.
+/// The responses that wait for the end of the step, for a round that is about to be planned, or for
+/// one that is being written.
 #[derive(Debug, Default)]
 pub(in crate::engine) struct PendingResponses {
     responses: Vec<PendingResponse>,
 }
 
 impl PendingResponses {
-    /// Adds a response.
+    /// Adds a pending response.
     pub(super) fn add(&mut self, response: PendingResponse) {
         self.responses.push(response);
     }
 
-    /// Whether a response to the machine waits.
+    /// Reports whether a response to the machine is pending.
     pub(in crate::engine) fn has_response_for(&self, machine: &MachineId) -> bool {
         let mut responses = self.responses.iter();
         responses.any(|response| response.machine == *machine)
     }
 
-    /// Takes all responses out.
-    fn take(&mut self) -> Vec<PendingResponse> {
+    /// Removes all pending responses and returns them.
+    fn take_all(&mut self) -> Vec<PendingResponse> {
         std::mem::take(&mut self.responses)
     }
 }
 
 impl Engine {
-    /// Responds to heartbeats at the end of the step in which they came, so that what the step
-    /// decided goes with the response. While a round is about to be planned, or is being written
-    /// with starts for the machine, the response waits for it (some ms): else the starts would wait
-    /// for the machine's next heartbeat, seconds later.
+    /// Responds to heartbeats at the end of the step in which they were received, so that the
+    /// response carries the commands that result from the step. While a round is about to be planned,
+    /// or is being written with starts for the machine, the response is held back for a few
+    /// milliseconds, at most [`constants::HEARTBEAT_HOLD_TIMEOUT`]. Otherwise the starts would wait
+    /// seconds for the machine's next heartbeat.
     pub(in crate::engine) fn respond_to_pending_heartbeats(&mut self) {
-        for mut pending in self.pending_responses.take() {
+        for mut pending in self.pending_responses.take_all() {
             let Some(leader) = self.leadership.leader() else {
-                self.outbox.reply(pending.to, Reply::Unavailable);
+                self.outbox.reply(pending.reply_id, Reply::Unavailable);
                 continue;
             };
             let token = leader.fencing_token_for(&pending.machine, FencingToken::default());
             let hold_until = pending.received_at + constants::HEARTBEAT_HOLD_TIMEOUT;
-            let may_wait = self.context.now() < hold_until;
-            if may_wait && (self.is_scheduling_imminent() || self.is_planned_on(&pending.machine)) {
+            let can_wait = self.context.now() < hold_until;
+            if can_wait
+                && (self.is_scheduling_imminent() || self.has_planned_start_on(&pending.machine))
+            {
                 self.pending_responses.add(pending);
                 continue;
             }
-            let commands = self.starts_and_stops(&pending.machine, pending.sequence);
+            let commands = self.start_and_stop_commands(&pending.machine, pending.sequence);
             pending.commands.extend(commands);
             let response = HeartbeatResponse {
                 fencing_token: token.0,
                 commands: pending.commands,
             };
             self.outbox
-                .reply(pending.to, Reply::HeartbeatAccepted(response));
+                .reply(pending.reply_id, Reply::HeartbeatAccepted(response));
         }
     }
 
-    /// Whether the round that is being written has a start on the machine.
-    fn is_planned_on(&self, machine: &MachineId) -> bool {
+    /// Reports whether the round that is being written starts a task on the machine.
+    fn has_planned_start_on(&self, machine: &MachineId) -> bool {
         let leader = self.leadership.leader();
         let writing = leader.filter(|leader| leader.rounds.is_writing());
         let Some(machine) = writing.and_then(|leader| leader.machines.get(machine)) else {
@@ -105,8 +110,8 @@
         })
     }
 
-    /// Starts and stops that this machine has to be told.
-    fn starts_and_stops(
+    /// Returns the starts and stops to send to the machine.
+    fn start_and_stop_commands(
         &mut self,
         id: &MachineId,
         sequence: HeartbeatSequence,
@@ -136,7 +141,7 @@
             .collect()
     }
 
-    /// The stop of a task that is being stopped.
+    /// Returns the stop command for a task whose stop was requested; `None` for any other task.
     fn stop_command(&self, task: &TaskId) -> Option<WorkerCommand> {
         let placement = self.jobs.placement(task)?;
         let stop = placement.stop_request?;
@@ -147,7 +152,8 @@
         })
     }
 
-    /// The start of a task that is not on its machine yet; records that it is sent.
+    /// Returns the start command for a task that its machine has not reported yet, and records that
+    /// the start is sent with the response to heartbeat `sequence`.
     fn start_command(
         &mut self,
         machine: &MachineId,
@@ -159,7 +165,8 @@
         let PlacementStage::Starting { sent, resends } = placement.stage else {
             return None;
         };
-        // A start that an earlier leader may have sent is never sent again.
+        // A start that an earlier leader may have sent is never sent again. Such a start is marked
+        // with u32::MAX resends.
         if resends == u32::MAX {
             return None;
         }
