--- a/src/engine/autoscaling/consolidation.rs
+++ b/src/engine/autoscaling/consolidation.rs
@@ -1,5 +1,5 @@
-//! Consolidation: replicas of services on half-empty machines are moved together, so that machines
-//! can be returned.
+//! Consolidation: moves replicas of services from half-empty machines onto other machines, so that
+//! the emptied machines can be returned.
 
 use crate::constants;
 use crate::engine::Engine;
@@ -9,13 +9,15 @@
 use crate::wire::worker::TaskState;
 
 impl Engine {
-    /// Drains one machine now and then, while no task waits for resources: it accepts no more tasks,
-    /// and its replicas are stopped and placed again like any others.
+    /// Drains at most one machine per [`constants::CONSOLIDATION_INTERVAL`], and only while no task
+    /// waits for resources. A draining machine accepts no more tasks; its replicas are stopped and
+    /// then placed again like any other waiting tasks.
     pub(in crate::engine) fn consolidate_when_due(&mut self) {
         let now = self.context.now();
         let leader = self.leadership.leader();
         let due = leader.is_some_and(|leader| now >= leader.autoscaling.next_consolidation_at);
-        // What goes over all machines comes last: this is asked at every step.
+        // This check runs at every step. The condition that iterates over all machines is evaluated
+        // last.
         if !due || !self.holds_valid_lease() || self.awaits_first_heartbeats() {
             return;
         }
@@ -32,6 +34,7 @@
         }
     }
 
+    /// Marks the machine as draining and stops its replicas.
     fn drain(&mut self, id: &MachineId) {
         let leader = self.leadership.leader_mut();
         let Some(machine) = leader.and_then(|leader| leader.machines.get_mut(id)) else {
@@ -45,6 +48,7 @@
         }
     }
 
+    /// Returns the machine to drain, if the replicas of one fit on other machines.
     fn machine_to_drain(&self) -> Option<MachineId> {
         let leader = self.leadership.leader()?;
         let candidates: Vec<Drainable<'_>> = leader
@@ -54,32 +58,42 @@
             .filter(|machine| !leader.autoscaling.reserved.contains(&machine.id))
             .filter_map(|machine| self.as_drainable(machine))
             .collect();
-        let any = Resources::default();
-        consolidation::choose_machine_to_drain(&candidates, &leader.machines.schedulable(any))
+        let no_minimum = Resources::default();
+        consolidation::choose_machine_to_drain(
+            &candidates,
+            &leader.machines.schedulable(no_minimum),
+        )
     }
 
-    /// The machine with its replicas, if it holds nothing else and all of them have run for a while.
+    /// Returns the machine with the specifications of its replicas, or `None` unless every task on the
+    /// machine is a replica that has run for [`constants::MIN_RUN_BEFORE_PREEMPTION`].
     fn as_drainable(&self, machine: &Machine) -> Option<Drainable<'_>> {
-        let replicas = machine.tasks.iter().map(|task| self.settled_replica(task));
+        let replicas = machine
+            .tasks
+            .iter()
+            .map(|task| self.long_running_replica(task));
         Some(Drainable {
             machine: machine.id.clone(),
             replicas: replicas.collect::<Option<_>>()?,
         })
     }
 
-    /// What the service asks for that this task is a replica of, if the replica has run for a while.
-    fn settled_replica(&self, task: &TaskId) -> Option<&JobSpec> {
+    /// Returns the specification of the service that the task is a replica of, or `None` if the task
+    /// is no replica or has not run for [`constants::MIN_RUN_BEFORE_PREEMPTION`].
+    fn long_running_replica(&self, task: &TaskId) -> Option<&JobSpec> {
         let job = self.jobs.get(&task.job).filter(|job| job.is_open())?;
         let placement = job.placements.get(&task.index)?;
         let is_replica = job.spec.kind == JobKind::Service;
-        (is_replica && self.has_run_for_a_while(placement)).then_some(&job.spec)
+        (is_replica && self.has_run_for_minimum_time(placement)).then_some(&job.spec)
     }
 
-    fn has_run_for_a_while(&self, placement: &Placement) -> bool {
+    /// Reports whether the task has run for [`constants::MIN_RUN_BEFORE_PREEMPTION`] and no stop of it
+    /// was requested.
+    fn has_run_for_minimum_time(&self, placement: &Placement) -> bool {
         let running = PlacementStage::Reported(TaskState::Running);
-        let settled_at = placement.stage_since + constants::MIN_RUN_BEFORE_PREEMPTION;
+        let movable_from = placement.stage_since + constants::MIN_RUN_BEFORE_PREEMPTION;
         placement.stage == running
             && placement.stop_request.is_none()
-            && self.context.now() >= settled_at
+            && self.context.now() >= movable_from
     }
 }
--- a/src/engine/autoscaling/housekeeping.rs
+++ b/src/engine/autoscaling/housekeeping.rs
@@ -1,5 +1,5 @@
-//! Housekeeping: a regular pass over the fleet that decides which machines are returned and which
-//! tasks write a checkpoint because their machine will be preempted.
+//! Housekeeping: a periodic pass over the fleet that decides which machines are returned, and which
+//! tasks are stopped with time for a checkpoint because their machine will be preempted.
 
 use super::Autoscaling;
 use crate::constants;
@@ -8,24 +8,25 @@
 use crate::model::{Machine, MachineId, MachinePhase, TaskId, Timestamp};
 use std::time::Duration;
 
-/// What a pass over the machines found.
+/// The result of a pass over the machines.
 #[derive(Debug, Default)]
 struct Inspection {
-    /// Machines to be returned.
+    /// The machines to return.
     to_return: Vec<MachineId>,
-    /// Tasks on machines that the cloud will take back.
+    /// The tasks on machines that the cloud will preempt.
     preempted: Vec<PreemptedTask>,
 }
 
-/// A task on a machine that the cloud will take back.
+/// A task on a machine that the cloud will preempt.
 #[derive(Debug)]
 struct PreemptedTask {
     task: TaskId,
+    /// Time until the preemption.
     time_left: Duration,
 }
 
 impl Autoscaling {
-    /// Begins a housekeeping pass if one is due; whether it did.
+    /// Begins a housekeeping pass if one is due. Returns whether it began one.
     fn begin_housekeeping_if_due(&mut self, now: Timestamp) -> bool {
         let due = now >= self.next_housekeeping_at;
         if due {
@@ -36,8 +37,9 @@
 }
 
 impl Engine {
-    /// Inspects the machines if that is due: silent, never up, failing, about to be preempted,
-    /// idle.
+    /// Runs a housekeeping pass if one is due: returns machines for any of the reasons in
+    /// [`ReturnReason`](super::return_reason::ReturnReason) and stops tasks on machines that are
+    /// about to be preempted. If most machines are silent, the leader steps down instead.
     pub(in crate::engine) fn housekeep_machines_when_due(&mut self) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -58,6 +60,7 @@
         self.stop_preempted_tasks(inspection.preempted);
     }
 
+    /// Records the current time for each zone from which this node is cut off.
     fn record_cut_off_zones(&mut self) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -71,26 +74,28 @@
         }
     }
 
-    /// Whether most machines that were up have fallen silent together: more likely this node's
-    /// trouble than theirs, and another node may be on the side of a cut where they are.
+    /// Reports whether most machines that are up have fallen silent together. The cause is then more
+    /// likely a fault of this node or its network than of the machines, and another node may be on
+    /// the machines' side of a network partition.
     fn has_lost_contact_with_workers(&self) -> bool {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader() else {
             return false;
         };
         let two_heartbeats = 2 * self.context.timing().heartbeat_interval;
-        let quiet = two_heartbeats + constants::SAFETY_MARGIN;
+        let silence_limit = two_heartbeats + constants::SAFETY_MARGIN;
         let is_up = |machine: &&Machine| machine.phase == MachinePhase::Up;
-        let (mut up, mut heard) = (0, 0);
+        let (mut up, mut confirmed_recently) = (0, 0);
         for machine in leader.machines.values().filter(is_up) {
             up += 1;
-            if now.saturating_since(machine.last_confirmed_at) <= quiet {
-                heard += 1;
+            if now.saturating_since(machine.last_confirmed_at) <= silence_limit {
+                confirmed_recently += 1;
             }
         }
-        up >= 2 && heard * 2 < up
+        up >= 2 && confirmed_recently * 2 < up
     }
 
+    /// Finds the machines to return and the tasks on machines that will be preempted.
     fn inspect_machines(&self) -> Inspection {
         let now = self.context.now();
         let mut inspection = Inspection::default();
@@ -114,6 +119,7 @@
         inspection
     }
 
+    /// Marks the machines as returning.
     fn mark_returning(&mut self, machines: &[MachineId]) {
         let Some(leader) = self.leadership.leader_mut() else {
             return;
@@ -125,7 +131,8 @@
         }
     }
 
-    /// Tasks on machines that will be preempted write a checkpoint while there is time.
+    /// Stops tasks on machines that will be preempted, as late as still leaves time to write a
+    /// checkpoint.
     fn stop_preempted_tasks(&mut self, preempted: Vec<PreemptedTask>) {
         for PreemptedTask { task, time_left } in preempted {
             let Some(job) = self.jobs.get(&task.job) else {
@@ -136,8 +143,8 @@
                 continue;
             }
             let placement = job.placements.get(&task.index);
-            let runs_on = placement.is_some_and(|placement| placement.stop_request.is_none());
-            if runs_on {
+            let needs_stop = placement.is_some_and(|placement| placement.stop_request.is_none());
+            if needs_stop {
                 self.stop_task(&task);
             }
         }
--- a/src/engine/autoscaling/machine_list.rs
+++ b/src/engine/autoscaling/machine_list.rs
@@ -1,5 +1,5 @@
-//! The cloud's list of machines: finds machines that no response to a rental told of, and those
-//! that have failed.
+//! Reads the cloud's list of machines, which reveals rented machines that are missing from the
+//! responses to rental requests, and machines that have failed.
 
 use crate::cloud::{CloudCall, CloudError, CloudReply};
 use crate::constants;
@@ -12,25 +12,26 @@
 use crate::wire::cloud::{ListedMachine, MachinePage, MachineState};
 use std::time::Duration;
 
-/// How far the cloud's list has been read.
+/// Progress in reading the cloud's list of machines.
 #[derive(Debug, Default)]
 pub(super) struct MachineListing {
     retry: Retry,
-    /// Whether the list was read to its end at least once in this term.
+    /// Whether the list was read to the end at least once in this term.
     complete: bool,
-    /// Last machine of the page before; `None` if the next page is the first.
+    /// Last machine of the previous page; `None` if the next page is the first.
     cursor: Option<String>,
-    /// Pages read of the list in progress.
+    /// Pages read so far in the current pass over the list.
     pages: u32,
 }
 
 impl MachineListing {
-    /// Whether the list was read to its end at least once in this term.
+    /// Reports whether the list was read to the end at least once in this term.
     pub(super) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// The call that reads the next page, if it is due.
+    /// Returns the call that reads the next page, if that read is due, and records that the read has
+    /// begun.
     fn next_call(&mut self, now: Timestamp) -> Option<CloudCall> {
         if !self.retry.is_due(now) {
             return None;
@@ -41,13 +42,15 @@
         })
     }
 
+    /// Records that reading a page failed, and schedules a retry.
     fn on_read_failed(&mut self, context: &mut Context) {
         self.retry.failed(context);
     }
 
-    /// A page was read; false if the list is given up, and read again some seconds later.
+    /// Records that a page was read. Returns false if the list is abandoned; it is read again from the
+    /// start after [`constants::MACHINE_LIST_INTERVAL`], a few seconds.
     fn on_page_read(&mut self, page: &MachinePage, now: Timestamp) -> bool {
-        if !self.may_end(page) {
+        if !self.is_valid_continuation(page) {
             tracing::error!(
                 pages = self.pages,
                 "machine list abandoned, it does not end or repeats a page"
@@ -59,7 +62,7 @@
         }
         let last = page.machines.last().filter(|_| page.has_more);
         self.cursor = last.map(|machine| machine.id.clone());
-        // A page alone does not tell what is rented.
+        // A single page does not show all rented machines, so the next page is read without a pause.
         let pause = match self.cursor {
             Some(_) => {
                 self.pages += 1;
@@ -75,22 +78,23 @@
         true
     }
 
-    /// Whether the page follows the one before, and the list may still end.
-    fn may_end(&self, page: &MachinePage) -> bool {
+    /// Reports whether the page continues from the previous one and the list can still end within
+    /// [`constants::MAX_MACHINE_LIST_PAGES`].
+    fn is_valid_continuation(&self, page: &MachinePage) -> bool {
         let last = page.machines.last().map(|machine| &machine.id);
-        let advances = match &self.cursor {
-            Some(before) => last.is_none_or(|last| last > before),
+        let advances_cursor = match &self.cursor {
+            Some(previous) => last.is_none_or(|last| last > previous),
             None => true,
         };
-        let within_bound = self.pages < constants::MAX_MACHINE_LIST_PAGES;
-        // A page that says that there are more but names none leads nowhere.
-        let leads_on = !page.has_more || last.is_some();
-        advances && within_bound && leads_on
+        let is_within_page_limit = self.pages < constants::MAX_MACHINE_LIST_PAGES;
+        // A page that announces more machines but lists none gives no cursor for the next page.
+        let has_next_cursor = !page.has_more || last.is_some();
+        advances_cursor && is_within_page_limit && has_next_cursor
     }
 }
 
 impl Engine {
-    /// Asks the cloud for the next page of its list, if that is due.
+    /// Requests the next page of the cloud's list, if that is due.
     pub(super) fn list_machines_when_due(&mut self) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -101,7 +105,7 @@
         }
     }
 
-    /// A page of the cloud's list, or none.
+    /// Handles the outcome of reading a page of the cloud's list.
     pub(in crate::engine) fn on_machines_listed(&mut self, result: Result<CloudReply, CloudError>) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -122,6 +126,8 @@
     }
 }
 
+/// Records a machine from the cloud's list: adds an unknown machine, fills in missing details, and
+/// marks a failed machine as returning.
 fn record_listed_machine(leader: &mut Leader, listed: &ListedMachine, now: Timestamp) {
     let id = MachineId::from(&*listed.id);
     if leader.was_returned(&id) {
@@ -136,7 +142,8 @@
     });
     leader.machines.update(&id, |machine| {
         machine.confirmed_by_cloud = true;
-        // Whether or not it has sent a heartbeat: one that has is not new either.
+        // The age applies whether or not the machine has sent a heartbeat: a machine that has sent
+        // one may also have been rented long ago.
         machine.rented_at = machine.rented_at.min(now.saturating_sub(age));
         if machine.machine_type.is_empty() {
             machine.machine_type = listed.machine_type.as_str().into();
--- a/src/engine/autoscaling/machine_list/tests.rs
+++ b/src/engine/autoscaling/machine_list/tests.rs
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn a_list_is_complete_with_its_last_page() {
+fn list_is_complete_after_its_last_page() {
     let mut listing = MachineListing::default();
     let now = instant(0);
     assert!(listing.next_call(now).is_some());
     assert!(listing.on_page_read(&page(&["host-1"], true), now));
     assert!(!listing.is_complete());
     let Some(CloudCall::ListMachines { after }) = listing.next_call(now) else {
-        panic!("the next page is due at once");
+        panic!("the next page is due immediately");
     };
     assert_eq!(after.as_deref(), Some("host-1"));
     assert!(listing.on_page_read(&page(&["host-2"], false), now));
@@ -38,19 +38,22 @@
 }
 
 #[test]
-fn a_list_that_repeats_a_page_or_leads_nowhere_is_given_up() {
-    for bad in [page(&["host-1"], true), page(&[], true)] {
+fn list_with_repeated_or_empty_page_is_abandoned_until_the_next_interval() {
+    for invalid_page in [page(&["host-1"], true), page(&[], true)] {
         let mut listing = MachineListing::default();
         let now = instant(0);
         assert!(listing.on_page_read(&page(&["host-1"], true), now));
-        assert!(!listing.on_page_read(&bad, now));
+        assert!(!listing.on_page_read(&invalid_page, now));
         assert!(!listing.is_complete() && listing.cursor.is_none());
-        assert!(listing.next_call(now).is_none(), "later");
+        assert!(
+            listing.next_call(now).is_none(),
+            "the list is not read again immediately"
+        );
     }
 }
 
 #[test]
-fn a_list_without_end_is_given_up() {
+fn endless_list_is_abandoned_at_the_page_limit() {
     let mut listing = MachineListing::default();
     let mut pages = 0;
     loop {
--- a/src/engine/autoscaling/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -1,11 +1,12 @@
-//! Autoscaling: which machines the cluster rents and which it gives back.
+//! Autoscaling: decides which machines the cluster rents and which it returns.
 //!
-//! Only the leader scales. Each pass compares the demand of waiting tasks with what the fleet has or
-//! will soon have available. The submodules have one job each: [`scale_out`] rents machines,
-//! [`refusals`] remembers what the cloud had no capacity for, [`preemption`] stops tasks where it has
-//! refused machines, [`consolidation`] joins services that half-empty machines hold,
-//! [`machine_list`] follows the cloud's list, [`housekeeping`] inspects the fleet, and [`scale_in`]
-//! gives machines back.
+//! Only the leader scales. Each rental pass compares the demand of waiting tasks with the resources
+//! that the fleet has available now or soon. [`scale_out`] rents machines, [`refusals`] tracks the
+//! offers that the cloud had no capacity for, [`preemption`] stops tasks when the cloud has refused
+//! the machines that waiting jobs need, [`consolidation`] empties half-empty machines by moving
+//! replicas of services, [`machine_list`] reads the cloud's list of machines, [`housekeeping`]
+//! inspects the fleet, [`return_reason`] decides which machines to return, and [`scale_in`] returns
+//! them.
 
 mod consolidation;
 mod housekeeping;
@@ -33,32 +34,33 @@
 /// The autoscaling state of a leader.
 #[derive(Debug)]
 pub(super) struct Autoscaling {
-    /// Tasks for which the last scheduling pass found no resources, by job in the order of service.
+    /// Tasks for which the last scheduling pass found no resources, by job in scheduling order.
     demand: Vec<Unplaced>,
     refusals: RefusedOffers,
-    /// Rental requests made in this term. Term and count together name a request.
+    /// Number of rental requests made in this term. The term and this number together identify a
+    /// request.
     rental_requests: u64,
-    /// Rental requests whose outcome is not known yet.
+    /// Number of rental requests whose outcome is not known yet.
     rentals_in_flight: usize,
     next_rental_pass_at: Timestamp,
-    /// Until then machines' first heartbeats are surely awaited.
+    /// Time until which `awaits_first_heartbeats` returns true without checking the machines again.
     first_heartbeats_awaited_until: Timestamp,
     listing: MachineListing,
-    /// Schedule of the return calls.
+    /// Retry state of the return calls.
     returns: Retry,
     next_housekeeping_at: Timestamp,
     next_consolidation_at: Timestamp,
-    /// Jobs for which tasks were preempted lately, or no victims were found, and the time until
-    /// which no more victims are searched for.
+    /// Jobs for which tasks were preempted recently or no victims were found, each with the time until
+    /// which no victims are searched for.
     preemption_pauses: BTreeMap<JobId, Timestamp>,
-    /// Idle machines that are kept because expected jobs would use them.
+    /// Idle machines that are kept for expected jobs.
     reserved: BTreeSet<MachineId>,
-    /// Time at which each zone was last found to be cut off.
+    /// Time at which each zone was last found to be cut off from this node.
     cut_off_zones: BTreeMap<Arc<str>, Timestamp>,
 }
 
 impl Autoscaling {
-    /// State of a leader whose term begins now.
+    /// Creates the state of a leader whose term begins now.
     pub(super) fn new(now: Timestamp) -> Self {
         Autoscaling {
             demand: Vec::new(),
@@ -77,13 +79,13 @@
         }
     }
 
-    /// Whether the last scheduling pass left tasks unplaced.
+    /// Reports whether the last scheduling pass left tasks unplaced.
     pub(super) fn has_demand(&self) -> bool {
         !self.demand.is_empty()
     }
 
-    /// The candidates with unplaced tasks, in the order of service, with these tasks as the planning
-    /// of rentals takes them.
+    /// Returns the candidates with unplaced tasks, in scheduling order, each with these tasks in the
+    /// form that rental planning takes.
     fn unplaced_jobs<'a>(
         &'a self,
         candidates: &'a [Candidate<'a>],
@@ -100,9 +102,10 @@
         })
     }
 
-    /// Sets the tasks that a scheduling pass has left unplaced.
+    /// Sets the demand to the tasks that a scheduling pass has left unplaced.
     fn set_demand(&mut self, unplaced: Vec<Unplaced>, now: Timestamp) {
-        // The first tasks that wait don't wait for the next pass as well.
+        // When demand first appears, a rental pass is due immediately instead of at the next regular
+        // time.
         if self.demand.is_empty() && !unplaced.is_empty() {
             self.next_rental_pass_at = now;
         }
@@ -111,7 +114,8 @@
 }
 
 impl Engine {
-    /// Takes the unplaced tasks of a scheduling pass as the demand.
+    /// Sets the demand to the tasks that a scheduling pass has left unplaced. Does nothing on a
+    /// follower.
     pub(super) fn set_demand(&mut self, unplaced: Vec<Unplaced>) {
         let now = self.context.now();
         if let Some(leader) = self.leadership.leader_mut() {
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Lists the cloud's machines and runs a rental pass, each if it is due.
+    /// Requests the next page of the cloud's machine list and runs a rental pass, each if it is due.
     pub(super) fn autoscale_when_due(&mut self) {
         if !self.holds_valid_lease() {
             return;
@@ -130,22 +134,24 @@
         }
     }
 
+    /// Reports whether a rental pass is due and can rely on what is known of the fleet.
     fn is_rental_pass_due(&mut self) -> bool {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader() else {
             return false;
         };
         let autoscaling = &leader.autoscaling;
-        // Until the first list nobody knows what is rented already; demand must not double it.
-        // What goes over all machines comes last: this is asked at every step.
+        // Until the cloud's list has been read once, it is unknown which machines are rented already,
+        // and renting for the demand could rent them a second time. This check runs at every step;
+        // the condition that iterates over all machines is evaluated last.
         autoscaling.rentals_in_flight == 0
             && autoscaling.listing.is_complete()
             && now >= autoscaling.next_rental_pass_at
             && !self.awaits_first_heartbeats()
     }
 
-    /// Compares the demand with the fleet: preempts tasks for jobs that renting can't help, and
-    /// rents for the others.
+    /// Compares the demand with the fleet: preempts tasks for a job that cannot get rented machines,
+    /// and rents machines for the other jobs.
     fn run_rental_pass(&mut self) {
         let now = self.context.now();
         if let Some(leader) = self.leadership.leader_mut() {
@@ -165,17 +171,18 @@
         self.scale_out(scaling.rent);
     }
 
-    /// Whether a machine is about to come up. One that is overdue is not counted on.
-    fn is_booting(&self, machine: &Machine) -> bool {
+    /// Reports whether a machine is expected to finish booting soon. A machine that has been rented for
+    /// more than twice its type's boot time is overdue and does not count.
+    fn is_booting_on_time(&self, machine: &Machine) -> bool {
         let machine_type = self.machine_types.get(&machine.machine_type);
         let boot_time = machine_type.map_or(Duration::ZERO, |machine_type| machine_type.boot_time);
-        let held = self.context.now().saturating_since(machine.rented_at);
-        let overdue = held > 2 * boot_time;
+        let rented_for = self.context.now().saturating_since(machine.rented_at);
+        let overdue = rented_for > 2 * boot_time;
         machine.phase == MachinePhase::Booting && machine.confirmed_by_cloud && !overdue
     }
 
-    /// Whether a machine accepts tasks now or is about to.
-    fn is_expected(&self, machine: &Machine) -> bool {
-        machine.accepts_tasks() || self.is_booting(machine)
+    /// Reports whether a machine accepts tasks now or is expected to soon.
+    fn accepts_tasks_now_or_soon(&self, machine: &Machine) -> bool {
+        machine.accepts_tasks() || self.is_booting_on_time(machine)
     }
 }
--- a/src/engine/autoscaling/preemption.rs
+++ b/src/engine/autoscaling/preemption.rs
@@ -6,55 +6,61 @@
 use crate::model::{JobId, Machine, Resources, TaskId};
 use crate::placement::{Candidate, MachineSnapshot, preemption};
 
-/// Tasks to be stopped for one job.
+/// The tasks to stop for one job.
 pub(super) struct Preemption {
     job: JobId,
     victims: Vec<TaskId>,
 }
 
-/// What one pass over the waiting jobs found.
+/// The result of one search for victims over the waiting jobs.
 #[derive(Default)]
 pub(super) struct PreemptionPlan {
     /// The first job for which tasks can be stopped.
     pub(super) preemption: Option<Preemption>,
-    /// Jobs before it for which no victims were found.
+    /// The jobs searched before it for which no victims were found.
     pub(super) without_victims: Vec<JobId>,
 }
 
 impl Engine {
-    /// Whom to stop for the first waiting job that renting can't help: the cloud has refused what
-    /// it could use, and nothing expected has resources for it. And for which jobs nobody was found:
-    /// a few in each pass, as each goes over all that runs.
+    /// Chooses the tasks to stop for the first waiting job that cannot get rented machines: the cloud
+    /// has recently refused offers, and the machines that accept tasks now or soon have no resources
+    /// left for the job.
+    /// The plan also lists the jobs for which no victims were found. A pass stops after
+    /// [`constants::MAX_PREEMPTION_SEARCHES`] of them, because each search iterates over all running
+    /// tasks.
     pub(super) fn plan_preemption(&self, candidates: &[Candidate<'_>]) -> PreemptionPlan {
         let now = self.context.now();
         let mut plan = PreemptionPlan::default();
         let Some(leader) = self.leadership.leader() else {
             return plan;
         };
-        if leader.autoscaling.refusals.at(now).is_empty() {
+        if leader.autoscaling.refusals.active_at(now).is_empty() {
             return plan;
         }
         let within_guarantee = self.jobs_within_guarantee();
-        let any = Resources::default();
+        let no_minimum = Resources::default();
         let machines = &leader.machines;
-        let mut expected = machines.with_available(any, |machine| self.is_expected(machine));
-        let mut up: Option<Vec<MachineSnapshot>> = None;
-        let running = preemption::preemptible_tasks(
+        let mut available_soon = machines.with_available(no_minimum, |machine| {
+            self.accepts_tasks_now_or_soon(machine)
+        });
+        let mut accepting: Option<Vec<MachineSnapshot>> = None;
+        let preemptible = preemption::preemptible_tasks(
             self.jobs.iter(),
             |id| within_guarantee.contains(id),
             now,
         );
         for (candidate, waiting) in leader.autoscaling.unplaced_jobs(candidates) {
-            // What will soon be available is first come, first served: it is allocated before the
-            // jobs after this one.
-            let has_resources = autoscaler::try_allocate(&waiting, &mut expected);
+            // Resources that are available now or soon are allocated to the waiting jobs in order, so
+            // later jobs see only the remainder.
+            let has_resources = autoscaler::try_allocate(&waiting, &mut available_soon);
             if has_resources || !self.may_preempt_for(candidate) {
                 continue;
             }
-            let up = up.get_or_insert_with(|| machines.with_available(any, Machine::accepts_tasks));
+            let accepting = accepting
+                .get_or_insert_with(|| machines.with_available(no_minimum, Machine::accepts_tasks));
             let job = candidate.id.clone();
             let tasks = tasks_to_preempt_for(candidate, waiting.tasks);
-            let victims = preemption::choose_victims(candidate, tasks, up, &running);
+            let victims = preemption::choose_victims(candidate, tasks, accepting, &preemptible);
             if !victims.is_empty() {
                 plan.preemption = Some(Preemption { job, victims });
                 return plan;
@@ -67,7 +73,8 @@
         plan
     }
 
-    /// Whether the job has waited for a while, and no search for it was made a moment ago.
+    /// Reports whether the job has waited for [`constants::PREEMPTION_DELAY`] and preemption for it is
+    /// not paused.
     fn may_preempt_for(&self, candidate: &Candidate<'_>) -> bool {
         let now = self.context.now();
         let paused = self.leadership.leader().is_some_and(|leader| {
@@ -78,7 +85,7 @@
         !paused && waited >= constants::PREEMPTION_DELAY
     }
 
-    /// Leaves jobs alone for which no victims were found, and forgets pauses that have ended.
+    /// Pauses the search for jobs for which no victims were found, and removes pauses that have ended.
     pub(super) fn pause_preemption(&mut self, without_victims: Vec<JobId>) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -90,7 +97,7 @@
         pauses.extend(without_victims.into_iter().map(|id| (id, until)));
     }
 
-    /// Stops the victims and leaves the job alone until its tasks had time to start.
+    /// Stops the victims and pauses preemption for the job, so that its tasks have time to start.
     pub(super) fn preempt(&mut self, preemption: Preemption) {
         let now = self.context.now();
         let Preemption { job, victims } = preemption;
@@ -105,7 +112,8 @@
     }
 }
 
-/// For how many of a job's unplaced tasks others are stopped at once: a gang needs all of them.
+/// Returns for how many of a job's unplaced tasks victims are chosen in one pass: for all tasks of a
+/// gang, which start together, and for one task of any other job.
 fn tasks_to_preempt_for(candidate: &Candidate<'_>, unplaced_tasks: u32) -> u32 {
     match candidate.job.is_gang() {
         true => unplaced_tasks,
--- a/src/engine/autoscaling/refusals.rs
+++ b/src/engine/autoscaling/refusals.rs
@@ -1,4 +1,4 @@
-//! Offers for which the cloud had no capacity, and how long each is left alone.
+//! Tracks the offers for which the cloud had no capacity, and how long each is not requested.
 
 use super::MachineOffer;
 use crate::constants;
@@ -6,24 +6,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long an offer is left alone after the cloud had no capacity for it.
+/// The pause in requests for an offer for which the cloud had no capacity.
 #[derive(Debug, Clone, Copy)]
 struct Refusal {
-    /// Time until which the offer is not asked for.
+    /// Time until which the offer is not requested.
     until: Timestamp,
-    /// Length of that pause; the next one is twice as long.
+    /// Length of the pause. The next one is twice as long, up to
+    /// [`constants::REFUSED_OFFER_MAX_PAUSE`].
     pause: Duration,
 }
 
-/// The offers that were refused, until one is granted or a machine of theirs is returned.
+/// The offers that were refused. An offer is removed when a rental of it succeeds or one of its
+/// machines is returned.
 #[derive(Debug, Default)]
 pub(super) struct RefusedOffers {
     refusals: BTreeMap<MachineOffer, Refusal>,
 }
 
 impl RefusedOffers {
-    /// Offers that are left alone at the moment.
-    pub(super) fn at(&self, now: Timestamp) -> BTreeSet<MachineOffer> {
+    /// Returns the offers that are not to be requested at the time `now`.
+    pub(super) fn active_at(&self, now: Timestamp) -> BTreeSet<MachineOffer> {
         self.refusals
             .iter()
             .filter(|(_, refusal)| now < refusal.until)
@@ -31,8 +33,8 @@
             .collect()
     }
 
-    /// The cloud had no capacity: the offer is left alone for a time that doubles with each refusal
-    /// in a row. Returns that time.
+    /// Records that the cloud had no capacity for the offer, which is then not requested for a pause
+    /// that doubles with each consecutive refusal. Returns the pause.
     pub(super) fn record(&mut self, offer: MachineOffer, now: Timestamp) -> Duration {
         let last = self.refusals.get(&offer);
         let last_pause = last.map_or(Duration::ZERO, |refusal| refusal.pause);
@@ -45,7 +47,7 @@
         pause
     }
 
-    /// The offer may be asked for at once.
+    /// Removes the record of the offer's refusals, so that the offer may be requested immediately.
     pub(super) fn clear(&mut self, offer: &MachineOffer) {
         self.refusals.remove(offer);
     }
--- a/src/engine/autoscaling/return_reason.rs
+++ b/src/engine/autoscaling/return_reason.rs
@@ -1,4 +1,4 @@
-//! Why a machine is returned.
+//! Decides whether and why a machine is returned.
 
 use super::Autoscaling;
 use crate::constants;
@@ -11,23 +11,24 @@
 /// Why a machine is returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReturnReason {
-    /// It sends no heartbeats, or does not receive responses.
+    /// The machine sends no heartbeats or does not receive responses to them.
     Silent,
-    /// Known by a heartbeat alone, perhaps a late copy from a machine that is long gone.
+    /// The machine is known only from a heartbeat, which may be a delayed duplicate from a machine that
+    /// no longer exists.
     NeverAnswered,
-    /// It did not boot in time.
+    /// The machine did not boot in time.
     NeverCameUp,
-    /// The cloud's notice has run out and it sends no heartbeats any more.
+    /// The cloud's preemption notice has expired and the machine no longer sends heartbeats.
     Preempted,
-    /// Tasks failed on it; it is empty now.
+    /// The machine was quarantined after failures of tasks, and is now empty.
     Quarantined,
-    /// Its replicas were moved to other machines.
+    /// The machine was drained, and is now empty.
     Drained,
-    /// Nothing has used it for a while.
+    /// The machine has been idle for longer than the configured limit.
     Idle,
 }
 
-/// The reason as logs and operators' pages name it.
+/// Writes the reason as it appears in logs and in the operators' documentation.
 impl fmt::Display for ReturnReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -43,14 +44,15 @@
 }
 
 impl Autoscaling {
-    /// When a zone was last found to be cut off; the clock's zero if it never was.
+    /// Returns the time at which a zone was last found to be cut off, or the clock's zero if it never
+    /// was.
     fn last_cut_off(&self, zone: &str) -> Timestamp {
         self.cut_off_zones.get(zone).copied().unwrap_or_default()
     }
 }
 
 impl Engine {
-    /// Why the machine is to be returned, if it is.
+    /// Returns the reason to return the machine, or `None` if it is kept.
     pub(super) fn reason_to_return(
         &self,
         leader: &Leader,
@@ -66,12 +68,12 @@
                 Some(ReturnReason::NeverAnswered)
             }
             // After an election every machine is new to this leader, however long it has been
-            // rented: it must have had time to send a heartbeat.
+            // rented. The check for silence gives the machine time to send a heartbeat.
             MachinePhase::Booting if silent && self.is_boot_overdue(machine) => {
                 Some(ReturnReason::NeverCameUp)
             }
-            // Asking for its return gives the proof that its tasks are gone without waiting for a
-            // lease.
+            // The cloud's response to the return proves that the machine's tasks are gone, without
+            // waiting for the worker's lease to expire.
             MachinePhase::Up if self.is_preempted(machine) => Some(ReturnReason::Preempted),
             MachinePhase::Up if silent => Some(ReturnReason::Silent),
             MachinePhase::Up if machine.quarantined && machine.is_empty() => {
@@ -85,47 +87,50 @@
         }
     }
 
-    /// Whether a machine has sent no proof for too long that it is alive and receives responses.
+    /// Reports whether, for longer than the timeout, no heartbeat has proved that the machine is alive
+    /// and receives responses.
     fn is_silent(&self, leader: &Leader, machine: &Machine) -> bool {
         let now = self.context.now();
         let timing = self.context.timing();
-        // A zone that can't be reached keeps working while a node there responds in our stead: its
-        // machines' silence counts from the end of the cut, or from the end of the longest time for
-        // which a node may do so.
+        // The machines of a zone that is cut off from this node keep working while a node in that
+        // zone responds in the leader's place. Their silence counts from the end of the partition, or
+        // from the end of the longest time for which a node may respond in the leader's place,
+        // whichever is earlier.
         let cut_off_at = leader.autoscaling.last_cut_off(&machine.zone);
-        let excused_until = cut_off_at.min(machine.last_confirmed_at + timing.leader_grace);
-        let unheard = now.saturating_since(machine.last_confirmed_at.max(excused_until));
-        // One that sends heartbeats although nothing proves that it receives responses is given
-        // its next heartbeat.
+        let grace_ends_at = cut_off_at.min(machine.last_confirmed_at + timing.leader_grace);
+        let silent_for = now.saturating_since(machine.last_confirmed_at.max(grace_ends_at));
+        // A machine that sends heartbeats, without proof that it receives responses, has until its
+        // next heartbeat to give that proof.
         let since_heartbeat = now.saturating_since(machine.last_heartbeat_at);
-        let patience = match since_heartbeat <= timing.heartbeat_deadline {
+        let timeout = match since_heartbeat <= timing.heartbeat_deadline {
             true => timing.machine_timeout + timing.heartbeat_deadline,
             false => timing.machine_timeout,
         };
-        unheard > patience
+        silent_for > timeout
     }
 
-    /// Whether a machine should have come up by now.
+    /// Reports whether a machine has been rented for longer than its boot timeout.
     fn is_boot_overdue(&self, machine: &Machine) -> bool {
         let machine_type = self.machine_types.get(&machine.machine_type);
-        let patience = machine_type.map_or(Duration::ZERO, |machine_type| {
+        let timeout = machine_type.map_or(Duration::ZERO, |machine_type| {
             let boot_millis = whole_millis(machine_type.boot_time) as f64;
             Duration::from_millis((boot_millis * constants::BOOT_TIMEOUT_FACTOR) as u64)
         });
-        let patience = patience.max(constants::MIN_BOOT_TIMEOUT);
-        self.context.now().saturating_since(machine.rented_at) > patience
+        let timeout = timeout.max(constants::MIN_BOOT_TIMEOUT);
+        self.context.now().saturating_since(machine.rented_at) > timeout
     }
 
-    /// Whether the cloud's notice has run out, and the machine sends no heartbeats any more.
+    /// Reports whether the cloud's preemption notice has expired and the machine no longer sends
+    /// heartbeats.
     fn is_preempted(&self, machine: &Machine) -> bool {
         let now = self.context.now();
-        let past_notice = machine.preemption_at.is_some_and(|at| now > at);
-        let unconfirmed = now.saturating_since(machine.last_confirmed_at);
-        past_notice && unconfirmed > self.context.timing().heartbeat_interval
+        let notice_expired = machine.preemption_at.is_some_and(|at| now > at);
+        let unconfirmed_for = now.saturating_since(machine.last_confirmed_at);
+        notice_expired && unconfirmed_for > self.context.timing().heartbeat_interval
     }
 
-    /// Whether a machine is idle for longer than the operators allow, no expected job would use it,
-    /// and the least time that the cloud charges for is over.
+    /// Reports whether a machine has been idle for longer than the operators' limit, is not kept for
+    /// expected jobs, and has been rented for longer than the cloud's minimum charged time.
     fn is_surplus(&self, leader: &Leader, machine: &Machine, now: Timestamp) -> bool {
         let idle_s = self.context.settings().operator.idle_s;
         let idle_limit = Duration::from_millis((idle_s * 1000.0) as u64);
--- a/src/engine/autoscaling/scale_in.rs
+++ b/src/engine/autoscaling/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scaling in: gives machines back to the cloud, and takes its response as proof that their tasks
+//! Scaling in: returns machines to the cloud, and takes the cloud's response as proof that their tasks
 //! are gone.
 
 use super::MachineOffer;
@@ -9,8 +9,9 @@
 use crate::model::{Machine, MachineId, MachinePhase};
 
 impl Engine {
-    /// Asks the cloud to take machines back. They and everything on them are gone only when it
-    /// says so; until then their tasks count as running.
+    /// Requests the return of the machines that are marked as returning. The machines and everything
+    /// on them are gone only once the cloud confirms the return; until then their tasks count as
+    /// running.
     pub(super) fn scale_in(&mut self) {
         let lease_valid = self.holds_valid_lease();
         let now = self.context.now();
@@ -36,7 +37,8 @@
         }
     }
 
-    /// The outcome of a return call.
+    /// Handles the outcome of a return call. After a success the machines are removed and their tasks
+    /// are handled as lost.
     pub(in crate::engine) fn on_machines_returned(
         &mut self,
         machines: Vec<MachineId>,
@@ -55,7 +57,7 @@
         let mut lost_tasks = Vec::new();
         for id in machines {
             if let Some(machine) = leader.machines.remove(&id) {
-                // What was given back can be had again.
+                // A machine that was returned can be rented again, so its offer may be requested.
                 leader.autoscaling.refusals.clear(&MachineOffer {
                     machine_type: machine.machine_type,
                     zone: machine.zone,
--- a/src/engine/autoscaling/scale_out.rs
+++ b/src/engine/autoscaling/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scaling out: how many machines of which offers are rented.
+//! Scaling out: decides how many machines of which offers to rent, and requests them.
 
 use super::MachineOffer;
 use crate::autoscaler::{self, ScalingPlan, WaitingJob};
@@ -12,19 +12,21 @@
 use crate::wire::cloud::RentRequest;
 use std::collections::BTreeMap;
 
-/// A rental request: machines of one offer.
+/// One rental call for a number of machines of one offer.
 struct RentalCall {
     offer: MachineOffer,
     count: u64,
 }
 
 impl Engine {
-    /// Shortly after an election, while many machines that surely are up have yet to send a
-    /// heartbeat here: what is available on them is not known, and a leader that rented at once
-    /// would rent the fleet again. The last of them are not waited for, since they may be dead.
+    /// Reports whether the leader was elected recently and still waits for the first heartbeats of
+    /// many machines that should be up. What is available on these machines is not known, so a leader
+    /// that rented immediately could rent a second fleet. The leader does not wait for the last few
+    /// machines, because they may have failed.
     ///
-    /// This is asked at every step and goes over all machines: while the answer is yes, not more
-    /// often than scheduling passes may come.
+    /// This check runs at every step and iterates over all machines. While its result is true, the
+    /// result is reused for [`constants::SCHEDULING_INTERVAL`], the shortest time between scheduling
+    /// passes.
     pub(super) fn awaits_first_heartbeats(&mut self) -> bool {
         let now = self.context.now();
         let two_heartbeats = 2 * self.context.timing().heartbeat_interval;
@@ -37,31 +39,34 @@
         if now < leader.autoscaling.first_heartbeats_awaited_until {
             return true;
         }
-        let awaits = self.lacks_first_heartbeats();
-        if awaits && let Some(leader) = self.leadership.leader_mut() {
+        let is_waiting = self.is_missing_first_heartbeats();
+        if is_waiting && let Some(leader) = self.leadership.leader_mut() {
             leader.autoscaling.first_heartbeats_awaited_until =
                 now + constants::SCHEDULING_INTERVAL;
         }
-        awaits
+        is_waiting
     }
 
-    /// Whether more than a few of the machines that surely are up have yet to send a heartbeat.
-    fn lacks_first_heartbeats(&self) -> bool {
+    /// Reports whether more than one in [`constants::UNHEARD_MACHINES_DIVISOR`] of the machines that
+    /// should be up have not sent a heartbeat yet.
+    fn is_missing_first_heartbeats(&self) -> bool {
         let Some(leader) = self.leadership.leader() else {
             return false;
         };
-        let (mut up, mut unheard) = (0, 0);
+        let (mut up, mut without_heartbeat) = (0, 0);
         for machine in leader.machines.values() {
             match machine.phase {
                 MachinePhase::Up => up += 1,
-                MachinePhase::Booting if !self.is_booting(machine) => unheard += 1,
+                MachinePhase::Booting if !self.is_booting_on_time(machine) => {
+                    without_heartbeat += 1
+                }
                 _ => {}
             }
         }
-        unheard * constants::UNHEARD_MACHINES_DIVISOR > up + unheard
+        without_heartbeat * constants::UNHEARD_MACHINES_DIVISOR > up + without_heartbeat
     }
 
-    /// The machines to rent, and the idle ones to keep, for waiting and for expected jobs.
+    /// Returns the machines to rent and the idle machines to keep, for waiting and for expected jobs.
     pub(super) fn scaling_plan(&self, candidates: &[Candidate<'_>]) -> ScalingPlan {
         let leader = self.leadership.leader();
         let (Some(leader), Some(types)) = (leader, self.machine_types.types()) else {
@@ -78,20 +83,21 @@
         let waiting: Vec<WaitingJob<'_>> = waiting.chain(expected).collect();
         let requests = waiting.iter().map(|waiting| waiting.job.spec.request);
         let Some(smallest_request) = requests.reduce(Resources::component_min) else {
-            // Nobody needs a machine, and none is kept for anybody.
+            // No job waits and none is expected, so no machine is rented or kept.
             return ScalingPlan::default();
         };
-        let snapshots = leader
-            .machines
-            .with_available(smallest_request, |machine| self.is_expected(machine));
-        let refused = leader.autoscaling.refusals.at(self.context.now());
+        let snapshots = leader.machines.with_available(smallest_request, |machine| {
+            self.accepts_tasks_now_or_soon(machine)
+        });
+        let refused = leader.autoscaling.refusals.active_at(self.context.now());
         let rents_spot = self.context.settings().operator.spot;
         let offers = autoscaler::available_offers(types, &refused, rents_spot);
         let max_machines = self.max_machines_to_rent();
         autoscaler::scaling_plan(&waiting, snapshots, types, &offers, max_machines)
     }
 
-    /// Jobs to be expected while a machine boots, by what arrived lately.
+    /// Returns the jobs that are expected to arrive while a machine boots, estimated from recent
+    /// arrivals.
     fn expected_jobs(&self) -> Vec<Job> {
         let Some(types) = self.machine_types.types() else {
             return Vec::new();
@@ -106,7 +112,8 @@
             .collect()
     }
 
-    /// How many more machines the operators' bound allows.
+    /// Returns how many more machines may be rented under the operators' limit, where 0 means no
+    /// limit.
     fn max_machines_to_rent(&self) -> u64 {
         let leader = self.leadership.leader();
         let rented = leader.map_or(0, |leader| leader.machines.len() as u64);
@@ -116,8 +123,9 @@
         }
     }
 
-    /// Requests machines, as many calls as the cloud takes in a second; what is left is asked for
-    /// in a pass soon after.
+    /// Requests machines with at most as many calls as the cloud accepts per second, but at least
+    /// one. The remaining machines are requested in a later pass, which is then due after
+    /// [`constants::RENTAL_PASS_INTERVAL`].
     pub(super) fn scale_out(&mut self, rent: BTreeMap<MachineOffer, u64>) {
         let rate = self.context.settings().cluster.cloud.rps;
         let calls_at_once = (rate as usize).max(1);
@@ -128,6 +136,7 @@
         }
     }
 
+    /// Makes one rental call. `more_calls` schedules the next rental pass earlier.
     fn request_machines(&mut self, call: RentalCall, more_calls: bool) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -146,7 +155,7 @@
             "renting machines"
         );
         let request = RentRequest {
-            // Unique by the term and a count: never used before, by whatever node.
+            // The term and the number make the id unique across all nodes and terms.
             request_id: format!("t{term}-{}", autoscaling.rental_requests),
             machine_type: offer.machine_type.to_string(),
             zone: offer.zone.to_string(),
@@ -157,7 +166,7 @@
         self.outbox.call_cloud(pending, CloudCall::Rent(request));
     }
 
-    /// The outcome of a rental request.
+    /// Handles the outcome of a rental request.
     pub(in crate::engine) fn on_machines_rented(
         &mut self,
         offer: MachineOffer,
@@ -174,7 +183,7 @@
             Ok(_) => {}
             Err(CloudError::NoCapacity) => record_refusal(leader, offer, now),
             Err(CloudError::Failed(error)) => {
-                // If it was executed all the same, its machines show up in the list.
+                // If the cloud executed the request nevertheless, the machines appear in its list.
                 tracing::info!(%error, "rental failed");
                 autoscaling.next_rental_pass_at = now + constants::RETRY_MAX_PAUSE;
             }
@@ -182,6 +191,7 @@
     }
 }
 
+/// Adds the rented machines to the fleet and clears the offer's refusals.
 fn add_rented_machines(
     leader: &mut Leader,
     offer: &MachineOffer,
@@ -201,6 +211,7 @@
     }
 }
 
+/// Records that the cloud had no capacity for the offer, and requests a scheduling pass.
 fn record_refusal(leader: &mut Leader, offer: MachineOffer, now: Timestamp) {
     let pause = leader.autoscaling.refusals.record(offer.clone(), now);
     tracing::info!(
@@ -210,20 +221,21 @@
     leader.scheduling.request();
 }
 
-/// One call for each offer, then the second for each that wants more than one call may rent.
+/// Splits the machines to rent into calls of at most [`constants::MAX_MACHINES_PER_RENTAL`]: one call
+/// for each offer, then a second call for each offer with machines left, and so on.
 fn rental_calls(rent: BTreeMap<MachineOffer, u64>) -> Vec<RentalCall> {
     let mut calls = Vec::new();
-    let mut left: Vec<(MachineOffer, u64)> = rent.into_iter().collect();
-    while !left.is_empty() {
-        for (offer, left_count) in &mut left {
-            let count = constants::MAX_MACHINES_PER_RENTAL.min(*left_count);
-            *left_count -= count;
+    let mut remaining: Vec<(MachineOffer, u64)> = rent.into_iter().collect();
+    while !remaining.is_empty() {
+        for (offer, remaining_count) in &mut remaining {
+            let count = constants::MAX_MACHINES_PER_RENTAL.min(*remaining_count);
+            *remaining_count -= count;
             calls.push(RentalCall {
                 offer: offer.clone(),
                 count,
             });
         }
-        left.retain(|(_, left_count)| *left_count > 0);
+        remaining.retain(|(_, remaining_count)| *remaining_count > 0);
     }
     calls
 }
