--- a/src/engine/machine_types.rs
+++ b/src/engine/machine_types.rs
@@ -1,4 +1,4 @@
-//! The machine types that the cloud offers, read again from time to time.
+//! The machine types that the cloud offers, which a leader reads again periodically.
 
 use super::context::Context;
 use super::retry::Retry;
@@ -7,7 +7,7 @@
 use crate::model::{MachineType, MachineTypes, Timestamp};
 use std::sync::Arc;
 
-/// The machine types as last read.
+/// The machine types as last read from the cloud.
 #[derive(Debug, Default)]
 pub(super) struct MachineTypeCatalog {
     types: Option<Arc<MachineTypes>>,
@@ -15,32 +15,33 @@
 }
 
 impl MachineTypeCatalog {
-    /// All types, once the cloud has told them.
+    /// Returns all types, or `None` if no read has succeeded yet.
     pub(super) fn types(&self) -> Option<&Arc<MachineTypes>> {
         self.types.as_ref()
     }
 
-    /// Whether the types are known.
+    /// Reports whether a read has succeeded.
     pub(super) fn is_known(&self) -> bool {
         self.types.is_some()
     }
 
-    /// The type of that name.
+    /// Returns the type with the given name.
     pub(super) fn get(&self, name: &str) -> Option<&MachineType> {
         self.types.as_ref().and_then(|types| types.get(name))
     }
 
-    /// Begins a read if one is due; whether it did. Spot prices move, which matters to a leader
-    /// only; the others need the types once.
-    pub(super) fn begin_read_if_due(&mut self, now: Timestamp, leading: bool) -> bool {
-        let due = self.retry.is_due(now) && (leading || self.types.is_none());
+    /// Begins a read if one is due. Returns whether it began one. Only a leader reads the types
+    /// repeatedly, because only a leader depends on the changing spot prices; a follower reads them
+    /// once.
+    pub(super) fn begin_read_if_due(&mut self, now: Timestamp, is_leader: bool) -> bool {
+        let due = self.retry.is_due(now) && (is_leader || self.types.is_none());
         if due {
             self.retry.begin();
         }
         due
     }
 
-    /// The outcome of a read.
+    /// Handles the outcome of a read. A failed read leaves the types unchanged and is retried.
     pub(super) fn on_read(
         &mut self,
         result: Result<CloudReply, CloudError>,
@@ -54,8 +55,8 @@
                 self.retry
                     .succeeded(context.now() + constants::MACHINE_TYPES_INTERVAL);
             }
-            other => {
-                if let Err(error) = other {
+            unexpected => {
+                if let Err(error) = unexpected {
                     tracing::debug!(%error, "reading machine types failed");
                 }
                 self.retry.failed(context);
--- a/src/engine/machines/mod.rs
+++ b/src/engine/machines/mod.rs
@@ -1,10 +1,11 @@
-//! The machines of a leader, each with the snapshot of it that scheduling works on.
+//! The machines of a leader, each with the cached snapshot that scheduling uses.
 //!
-//! A round is planned ten times a second, and what is available on a machine follows from its
-//! tasks; so a snapshot is built again only for machines that have changed since. Whoever changes a
-//! machine, or what is on it, gets it from here by [`Machines::get_mut`], which marks it as dirty.
-//! Most heartbeats change nothing that scheduling sees; they go through [`Machines::update`], which
-//! marks the machine only if they do.
+//! A round is planned up to ten times a second, and the resources available on a machine are computed
+//! from its tasks. A snapshot is therefore rebuilt only for a machine that has changed since the last
+//! build. Code that changes a machine or its tasks obtains the machine from [`Machines::get_mut`],
+//! which marks it as dirty. Most heartbeats change nothing that scheduling depends on; they are
+//! recorded with [`Machines::update`], which marks the machine as dirty only if scheduling is
+//! affected.
 
 mod snapshot;
 
@@ -16,18 +17,18 @@
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// The fleet of a leader.
+/// The fleet of a leader, with cached snapshots of its machines.
 #[derive(Debug, Default)]
 pub(super) struct Machines {
     by_id: BTreeMap<MachineId, Machine>,
-    /// Machines that have changed since their snapshots were built.
+    /// Machines that have changed since their snapshots were last built.
     dirty: BTreeSet<MachineId>,
     snapshots: BTreeMap<MachineId, CachedSnapshot>,
     /// The machine types that the snapshots were built with.
     machine_types: Option<Arc<MachineTypes>>,
 }
 
-/// What scheduling sees of a machine itself, apart from what is on it.
+/// The properties of a machine that scheduling depends on, apart from its tasks and images.
 #[derive(Debug, PartialEq)]
 struct Availability {
     machine_type: Arc<str>,
@@ -37,6 +38,7 @@
 }
 
 impl Availability {
+    /// Returns the machine's current properties.
     fn of(machine: &Machine) -> Self {
         Availability {
             machine_type: machine.machine_type.clone(),
@@ -47,7 +49,7 @@
     }
 }
 
-/// For reading, which marks nothing as dirty.
+/// Gives read access to the machines, which marks none as dirty.
 impl Deref for Machines {
     type Target = BTreeMap<MachineId, Machine>;
 
@@ -57,63 +59,66 @@
 }
 
 impl Machines {
-    /// The machine, to be changed; marks it as dirty.
+    /// Returns the machine for modification, and marks it as dirty.
     pub(super) fn get_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
         let machine = self.by_id.get_mut(id)?;
         self.dirty.insert(id.clone());
         Some(machine)
     }
 
-    /// Marks a machine as dirty: the stage of a task on it has changed.
+    /// Marks a machine as dirty. This is needed when the stage of a task on the machine has changed.
     pub(super) fn mark_dirty(&mut self, id: &MachineId) {
         self.dirty.insert(id.clone());
     }
 
-    /// Changes anything of a machine but its tasks and images. It is marked as dirty if scheduling
-    /// sees the difference, or while it fetches images, of which less is left with each heartbeat.
+    /// Applies a change to a machine that must not touch its tasks and images. Returns the result of
+    /// `change`, or `None` if the machine is unknown. The machine is marked as dirty if the change
+    /// affects scheduling, and also while the machine fetches images, because less remains to be
+    /// fetched at each heartbeat.
     pub(super) fn update<R>(
         &mut self,
         id: &MachineId,
         change: impl FnOnce(&mut Machine) -> R,
     ) -> Option<R> {
         let machine = self.by_id.get_mut(id)?;
-        let before = Availability::of(machine);
+        let previous = Availability::of(machine);
         let result = change(machine);
         let cached = self.snapshots.get(id);
-        let fetches = cached.is_some_and(CachedSnapshot::is_fetching);
-        if fetches || before != Availability::of(machine) {
+        let is_fetching = cached.is_some_and(CachedSnapshot::is_fetching);
+        if is_fetching || previous != Availability::of(machine) {
             self.dirty.insert(id.clone());
         }
         Some(result)
     }
 
-    /// Adds the machine if it is not known yet.
+    /// Adds the machine that `create` returns, unless a machine with this id is present.
     pub(super) fn insert_if_absent(
         &mut self,
         id: &MachineId,
-        new: impl FnOnce(MachineId) -> Machine,
+        create: impl FnOnce(MachineId) -> Machine,
     ) {
         if !self.by_id.contains_key(id) {
-            self.by_id.insert(id.clone(), new(id.clone()));
+            self.by_id.insert(id.clone(), create(id.clone()));
             self.dirty.insert(id.clone());
         }
     }
 
-    /// Removes the machine.
+    /// Removes the machine and its snapshot. Returns the machine, or `None` if it is unknown.
     pub(super) fn remove(&mut self, id: &MachineId) -> Option<Machine> {
         self.snapshots.remove(id);
         self.dirty.remove(id);
         self.by_id.remove(id)
     }
 
-    /// Builds the snapshots of dirty machines again.
+    /// Rebuilds the snapshots of dirty machines. If the machine types have changed, all machines count
+    /// as dirty.
     pub(super) fn refresh_snapshots(
         &mut self,
         jobs: &Jobs,
         machine_types: Option<&Arc<MachineTypes>>,
         now: Timestamp,
     ) {
-        // Prices and sizes are read again from time to time.
+        // The machine types are reloaded periodically, and their prices and sizes may change.
         if self.machine_types.as_ref() != machine_types {
             self.dirty.extend(self.by_id.keys().cloned());
             self.machine_types = machine_types.cloned();
@@ -126,14 +131,17 @@
         }
     }
 
-    /// The snapshot of a machine at that time; `None` while its type is not known.
+    /// Builds the snapshot of a machine at the time `at`. Returns `None` if the machine or its type is
+    /// unknown.
     fn build_snapshot(&self, id: &MachineId, jobs: &Jobs, at: Timestamp) -> Option<CachedSnapshot> {
         let machine = self.by_id.get(id)?;
         let machine_type = self.machine_types.as_ref()?.get(&machine.machine_type)?;
         Some(CachedSnapshot::build(machine, machine_type, jobs, at))
     }
 
-    /// Machines that starts may be sent to, with what is surely available: at least so much.
+    /// Returns snapshots of the machines to which starts may be sent and on which at least
+    /// `min_available` is available. None of them has an unconfirmed start, so the available
+    /// resources are certain.
     pub(super) fn schedulable(&self, min_available: Resources) -> Vec<MachineSnapshot> {
         self.snapshots
             .values()
@@ -143,7 +151,8 @@
             .collect()
     }
 
-    /// Machines for which the predicate holds and on which at least so much is available.
+    /// Returns snapshots of the machines for which the predicate holds and on which at least
+    /// `min_available` is available.
     pub(super) fn with_available(
         &self,
         min_available: Resources,
@@ -158,7 +167,8 @@
             .collect()
     }
 
-    /// Whether each snapshot that is not dirty is what would be built at its time.
+    /// Reports whether each machine that is not dirty has the same snapshot that a rebuild at the
+    /// snapshot's build time would give.
     #[cfg(test)]
     pub(super) fn snapshots_agree(&self, jobs: &Jobs, now: Timestamp) -> bool {
         let is_clean = |id: &&MachineId| !self.dirty.contains(id);
--- a/src/engine/machines/snapshot.rs
+++ b/src/engine/machines/snapshot.rs
@@ -1,4 +1,4 @@
-//! Builds the scheduler's snapshot of a machine.
+//! Builds the snapshots of machines that scheduling uses.
 
 use crate::constants;
 use crate::engine::jobs::Jobs;
@@ -11,18 +11,21 @@
 use crate::wire::worker::TaskState;
 use std::sync::Arc;
 
-/// A snapshot with the time at which it was built.
+/// A machine's snapshot, with the time at which it was built and whether starts may be sent to the
+/// machine.
 #[derive(Debug, PartialEq)]
 pub(super) struct CachedSnapshot {
+    /// Time at which the snapshot was built.
     pub(super) built_at: Timestamp,
+    /// The snapshot as scheduling uses it.
     pub(super) snapshot: MachineSnapshot,
-    /// Whether the machine accepts tasks, and no start on it is unconfirmed: such a machine is
-    /// locked by its round.
+    /// Whether the machine accepts tasks and has no unconfirmed start. A machine with an unconfirmed
+    /// start is locked by the round that placed it.
     pub(super) schedulable: bool,
 }
 
 impl CachedSnapshot {
-    /// The snapshot of a machine at that time.
+    /// Builds the snapshot of a machine at the time `at`.
     pub(super) fn build(
         machine: &Machine,
         machine_type: &MachineType,
@@ -45,39 +48,42 @@
                 free_task_slots: constants::MAX_TASKS_PER_MACHINE.saturating_sub(tasks),
                 long_running: load.long_running,
                 images: images.map(|(name, _)| name.clone()).collect(),
-                fetching: left_to_fetch(load.fetches, machine_type.fetch_gb_per_s, at),
+                fetching: remaining_fetches(load.fetches, machine_type.fetch_gb_per_s, at),
                 boot_gb: machine_type.boot_gb(),
             },
         }
     }
 
-    /// Whether the machine fetches images.
+    /// Reports whether the machine still has to fetch images for its tasks.
     pub(super) fn is_fetching(&self) -> bool {
         !self.snapshot.fetching.is_empty()
     }
 }
 
-/// What the tasks on a machine take of it.
+/// The load that a machine's tasks put on it.
 #[derive(Debug, Default)]
 struct MachineLoad {
+    /// Resources requested by all tasks.
     used: Resources,
-    /// What services take, which don't end by themselves.
+    /// Resources requested by replicas of services, which run until they are stopped.
     long_running: Resources,
-    /// Whether no heartbeat has named a task that was placed here.
+    /// Whether a task that is placed on the machine has not been reported by a heartbeat yet.
     has_unconfirmed_start: bool,
+    /// Images that are being fetched.
     fetches: Vec<Fetch>,
 }
 
-/// An image that tasks wait for.
+/// The fetch of an image that tasks wait for.
 #[derive(Debug)]
 struct Fetch {
     image: Arc<str>,
     image_gb: f64,
-    /// When the first of the tasks was reported.
-    begun_at: Timestamp,
+    /// Time at which the first of the tasks was reported, or the time of the snapshot if none was.
+    started_at: Timestamp,
 }
 
 impl MachineLoad {
+    /// Computes the load from the machine's tasks at the time `at`.
     fn of(machine: &Machine, jobs: &Jobs, at: Timestamp) -> Self {
         let mut load = MachineLoad::default();
         for TaskId { job, index } in &machine.tasks {
@@ -88,7 +94,7 @@
         load
     }
 
-    /// Adds a task of the job.
+    /// Adds one task of the job, with its placement if it has one.
     fn add(&mut self, machine: &Machine, job: &Job, placement: Option<&Placement>, at: Timestamp) {
         self.used += job.spec.request;
         if job.spec.kind == JobKind::Service {
@@ -101,34 +107,36 @@
         let has_image = machine.has_image(&job.spec.image)
             || reported.is_some_and(|placement| placement.stage != fetching);
         if !has_image {
-            let begun_at = reported.map_or(at, |placement| placement.stage_since);
-            self.add_fetch(job, begun_at);
+            let started_at = reported.map_or(at, |placement| placement.stage_since);
+            self.add_fetch(job, started_at);
         }
     }
 
-    fn add_fetch(&mut self, job: &Job, begun_at: Timestamp) {
+    /// Adds the fetch of the job's image, or merges it with a fetch of the same image.
+    fn add_fetch(&mut self, job: &Job, started_at: Timestamp) {
         let image = &job.spec.image;
         match self.fetches.iter_mut().find(|fetch| fetch.image == *image) {
-            Some(fetch) => fetch.begun_at = begun_at.min(fetch.begun_at),
+            Some(fetch) => fetch.started_at = started_at.min(fetch.started_at),
             None => self.fetches.push(Fetch {
                 image: image.clone(),
                 image_gb: job.spec.image_gb,
-                begun_at,
+                started_at,
             }),
         }
     }
 }
 
-/// GB of each image that are left to fetch, if all share the machine's rate.
-fn left_to_fetch(fetches: Vec<Fetch>, gb_per_s: f64, at: Timestamp) -> Vec<PendingFetch> {
+/// Returns how many GB of each image remain to be fetched, assuming that the fetches share the
+/// machine's rate equally from their start.
+fn remaining_fetches(fetches: Vec<Fetch>, gb_per_s: f64, at: Timestamp) -> Vec<PendingFetch> {
     let share = gb_per_s / fetches.len().max(1) as f64;
-    let left = |fetch: Fetch| {
-        let elapsed = whole_millis(at.saturating_since(fetch.begun_at));
+    let to_pending_fetch = |fetch: Fetch| {
+        let elapsed = whole_millis(at.saturating_since(fetch.started_at));
         let fetched_gb = elapsed as f64 / 1000.0 * share;
         PendingFetch {
             image: fetch.image,
             remaining_gb: (fetch.image_gb - fetched_gb).max(0.0),
         }
     };
-    fetches.into_iter().map(left).collect()
+    fetches.into_iter().map(to_pending_fetch).collect()
 }
--- a/src/engine/machines/tests.rs
+++ b/src/engine/machines/tests.rs
@@ -19,8 +19,8 @@
     Arc::new(BTreeMap::from([("g8".into(), machine_type)]))
 }
 
-/// One machine that accepts tasks.
-fn fleet() -> (Machines, MachineId) {
+/// Returns a fleet with one machine that accepts tasks, and the id of the machine.
+fn one_machine_fleet() -> (Machines, MachineId) {
     let mut machines = Machines::default();
     let id = MachineId::from("host-1");
     machines.insert_if_absent(&id, |id| {
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn a_machine_of_unknown_type_has_no_snapshot() {
-    let (mut machines, _) = fleet();
+fn machine_of_unknown_type_has_no_snapshot() {
+    let (mut machines, _) = one_machine_fleet();
     let jobs = Jobs::default();
     machines.refresh_snapshots(&jobs, None, instant(0));
     assert!(schedulable(&machines).is_empty());
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn a_snapshot_counts_what_is_placed_and_locks_unconfirmed_starts() {
-    let (mut machines, id) = fleet();
+fn snapshot_subtracts_placed_tasks_and_unconfirmed_start_makes_machine_unschedulable() {
+    let (mut machines, id) = one_machine_fleet();
     let task = TaskId {
         job: "run-1".into(),
         index: 0,
@@ -72,8 +72,8 @@
 }
 
 #[test]
-fn changes_that_scheduling_does_not_see_leave_the_snapshot_as_it_is() {
-    let (mut machines, id) = fleet();
+fn update_marks_machine_dirty_only_if_scheduling_is_affected() {
+    let (mut machines, id) = one_machine_fleet();
     machines.refresh_snapshots(&Jobs::default(), Some(&types()), instant(0));
     machines.update(&id, |machine| machine.last_heartbeat_at = instant(9));
     assert!(machines.dirty.is_empty());
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn a_removed_machine_leaves_nothing_behind() {
-    let (mut machines, id) = fleet();
+fn removing_a_machine_removes_its_snapshot() {
+    let (mut machines, id) = one_machine_fleet();
     machines.refresh_snapshots(&Jobs::default(), Some(&types()), instant(0));
     assert!(machines.remove(&id).is_some());
     assert!(machines.is_empty() && schedulable(&machines).is_empty());
