--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -1,4 +1,4 @@
-//! Makes calls to the cloud.
+//! The client that makes calls to the cloud.
 
 use super::{CloudCall, CloudError, CloudFailure, CloudReply};
 use crate::constants;
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 
-/// A client of the cloud that keeps to its limit on calls.
+/// A client of the cloud that keeps to the cloud's rate limit.
 #[derive(Debug)]
 pub struct CloudClient {
     http: HttpClient,
@@ -20,7 +20,7 @@
 }
 
 impl CloudClient {
-    /// A client of the cloud that the settings name.
+    /// Creates a client for the cloud address in the settings.
     pub fn new(http: HttpClient, settings: &Settings) -> Self {
         CloudClient {
             http,
@@ -29,12 +29,13 @@
         }
     }
 
-    /// Makes the call once the rate limit allows it, and reads its response.
+    /// Makes the call once the rate limit allows it, and returns the cloud's reply.
     ///
     /// # Errors
     ///
-    /// [`CloudError::NoCapacity`] if the cloud has no such machine, [`CloudError::Failed`] in all
-    /// other cases.
+    /// Returns [`CloudError::NoCapacity`] if the cloud reports that it has no capacity for a rental,
+    /// and [`CloudError::Failed`] if the request gets no response, the response has another error
+    /// status, or its body cannot be decoded.
     pub async fn call(&self, call: &CloudCall) -> Result<CloudReply, CloudError> {
         self.limiter.acquire(1.0, rate_reserve(call)).await;
         let response = self
@@ -42,12 +43,12 @@
             .send(self.address, request(call), constants::CLOUD_TIMEOUT)
             .await
             .map_err(CloudFailure::from)?;
-        read(call, &response)
+        decode_response(call, &response)
     }
 }
 
-/// The share of the tokens that the call has to leave. Returns prove that tasks are gone which
-/// have to run elsewhere, so the reserve is for them.
+/// Returns the share of the rate limiter's tokens that the call must leave. The reserve is kept for
+/// returns, because a return proves that tasks are gone that have to run on other machines.
 fn rate_reserve(call: &CloudCall) -> f64 {
     match call {
         CloudCall::Return(_) => 0.0,
@@ -55,7 +56,7 @@
     }
 }
 
-/// The request that makes the call, as the platform's protocol defines it.
+/// Returns the HTTP request for the call, as the platform's protocol defines it.
 fn request(call: &CloudCall) -> HttpRequest {
     match call {
         CloudCall::ListMachineTypes => HttpRequest::get("/flavors"),
@@ -76,35 +77,44 @@
     }
 }
 
-/// Reads the response to `call`.
-fn read(call: &CloudCall, response: &HttpResponse) -> Result<CloudReply, CloudError> {
+/// Decodes the response to `call`.
+///
+/// # Errors
+///
+/// Returns the errors of [`CloudClient::call`], except for a missing response.
+fn decode_response(call: &CloudCall, response: &HttpResponse) -> Result<CloudReply, CloudError> {
     if response.status != 200 {
-        return Err(refusal(response));
+        return Err(error_from_response(response));
     }
     match call {
-        CloudCall::ListMachineTypes => Ok(CloudReply::MachineTypes(body(response)?)),
+        CloudCall::ListMachineTypes => Ok(CloudReply::MachineTypes(decode_body(response)?)),
         CloudCall::Rent(_) => {
-            let MachineNames { machines } = body(response)?;
+            let MachineNames { machines } = decode_body(response)?;
             Ok(CloudReply::Rented(machines))
         }
         CloudCall::Return(_) => Ok(CloudReply::Returned),
-        CloudCall::ListMachines { .. } => Ok(CloudReply::MachinePage(body(response)?)),
+        CloudCall::ListMachines { .. } => Ok(CloudReply::MachinePage(decode_body(response)?)),
     }
 }
 
-fn body<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
+/// Decodes the body of a response.
+///
+/// # Errors
+///
+/// Returns [`CloudError::Failed`] if the body cannot be decoded.
+fn decode_body<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
     decode(&response.body).map_err(|error| CloudFailure::from(error).into())
 }
 
-/// What a response that is no success means.
-fn refusal(response: &HttpResponse) -> CloudError {
-    /// The body of a refusal.
+/// Returns the error that a response with a status other than 200 stands for.
+fn error_from_response(response: &HttpResponse) -> CloudError {
+    /// The body of an error response.
     #[derive(Deserialize)]
     struct Refusal {
         error: String,
     }
     let reason = decode::<Refusal>(&response.body).map_or(String::new(), |refusal| refusal.error);
-    // The protocol tells a refusal from an outage by this text alone.
+    // In the protocol, only this text distinguishes a lack of capacity from an outage.
     if response.status == 503 && reason == "no capacity" {
         return CloudError::NoCapacity;
     }
--- a/src/cloud/client/tests.rs
+++ b/src/cloud/client/tests.rs
@@ -10,20 +10,23 @@
     }
 }
 
-fn refused(status: u16, error: &str) -> CloudError {
-    refusal(&response(status, encode(&Refusal { error })))
+fn error_for(status: u16, error: &str) -> CloudError {
+    error_from_response(&response(status, encode(&Refusal { error })))
 }
 
 #[test]
-fn only_the_protocols_text_tells_that_there_is_no_capacity() {
+fn status_503_with_the_protocol_text_means_no_capacity_and_other_errors_mean_failure() {
     assert!(matches!(
-        refused(503, "no capacity"),
+        error_for(503, "no capacity"),
         CloudError::NoCapacity
     ));
     for (error, text) in [
-        (refused(503, "trouble"), "status 503 trouble"),
-        (refused(429, "no capacity"), "status 429 no capacity"),
-        (refusal(&response(500, Vec::new())), "status 500 "),
+        (error_for(503, "trouble"), "status 503 trouble"),
+        (error_for(429, "no capacity"), "status 429 no capacity"),
+        (
+            error_from_response(&response(500, Vec::new())),
+            "status 500 ",
+        ),
     ] {
         assert!(matches!(error, CloudError::Failed(_)));
         assert_eq!(error.to_string(), text);
@@ -31,26 +34,26 @@
 }
 
 #[test]
-fn an_unreadable_response_is_a_failure() {
-    let error = read(&CloudCall::ListMachineTypes, &response(200, vec![0])).unwrap_err();
+fn undecodable_response_is_a_failure() {
+    let error = decode_response(&CloudCall::ListMachineTypes, &response(200, vec![0])).unwrap_err();
     assert_eq!(
         error.to_string(),
-        "unreadable answer: body is not a MessagePack map"
+        "unreadable response: body is not a MessagePack map"
     );
 }
 
 #[test]
-fn each_call_has_the_path_of_the_protocol() {
-    let list = |after: Option<&str>| CloudCall::ListMachines {
+fn calls_have_the_methods_and_paths_of_the_protocol() {
+    let list_machines = |after: Option<&str>| CloudCall::ListMachines {
         after: after.map(Into::into),
     };
     let names = vec!["host-1".to_owned()];
     for (call, method, path) in [
         (CloudCall::ListMachineTypes, Method::GET, "/flavors"),
         (CloudCall::Return(names), Method::POST, "/machines/return"),
-        (list(None), Method::GET, "/machines?page=500"),
+        (list_machines(None), Method::GET, "/machines?page=500"),
         (
-            list(Some("host-1")),
+            list_machines(Some("host-1")),
             Method::GET,
             "/machines?after=host-1&page=500",
         ),
@@ -61,7 +64,7 @@
 }
 
 #[test]
-fn the_reserve_is_for_returns() {
+fn only_returns_may_use_the_rate_reserve() {
     assert_eq!(rate_reserve(&CloudCall::Return(Vec::new())), 0.0);
     assert_eq!(
         rate_reserve(&CloudCall::ListMachineTypes),
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -1,4 +1,4 @@
-//! The cloud, which rents machines: its calls, and the client that makes them.
+//! The cloud that machines are rented from: its calls, their replies and errors, and the client.
 
 mod client;
 
@@ -8,7 +8,7 @@
 use crate::wire::DecodeError;
 use crate::wire::cloud::{MachinePage, MachineTypeList, RentRequest};
 
-/// One call to the cloud.
+/// A call to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudCall {
     /// Reads the machine types.
@@ -19,7 +19,7 @@
     Return(Vec<String>),
     /// Reads a page of the machine list.
     ListMachines {
-        /// The last machine of the page before; none for the first page.
+        /// The last machine of the previous page; `None` for the first page.
         after: Option<String>,
     },
 }
@@ -29,9 +29,9 @@
 pub enum CloudReply {
     /// All machine types.
     MachineTypes(MachineTypeList),
-    /// Names of the machines that were rented.
+    /// The names of the machines that were rented.
     Rented(Vec<String>),
-    /// The machines, and everything on them, are gone.
+    /// The machines were returned; they and everything on them are gone.
     Returned,
     /// A page of the machine list.
     MachinePage(MachinePage),
@@ -40,32 +40,32 @@
 /// Why a call to the cloud failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// None of this machine type, zone and kind is to be had.
+    /// The cloud has no capacity for this machine type and zone, as spot or on-demand as requested.
     #[error("no capacity")]
     NoCapacity,
-    /// Not executed, or not known to be: the same request may be sent again.
+    /// The call failed, and may or may not have been executed. The same request may be sent again.
     #[error("{0}")]
     Failed(#[from] CloudFailure),
 }
 
-/// Why it is not known whether a call was executed.
+/// The cause of a failure after which it is not known whether the call was executed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudFailure {
     /// The request got no response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The response can't be decoded.
-    #[error("unreadable answer: {0}")]
+    /// The response cannot be decoded.
+    #[error("unreadable response: {0}")]
     Undecodable(#[from] DecodeError),
-    /// The cloud refused the call.
+    /// The response has a status other than 200.
     #[error("status {status} {reason}")]
     Status {
         /// The status code.
         status: u16,
-        /// The reason that the cloud gives; empty if it gives none.
+        /// The cloud's error text; empty if the response has none.
         reason: String,
     },
-    /// A failure that a simulated cloud reports.
+    /// A failure reported by a simulated cloud.
     #[cfg(test)]
     #[error("{0}")]
     Simulated(String),
--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -7,7 +7,8 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Sends direct commands, [`constants::MAX_WORKER_CALLS`] messages at once. Clones share the queue.
+/// Sends direct commands, with at most [`constants::MAX_WORKER_CALLS`] messages in flight. Clones share
+/// the queue.
 #[derive(Debug, Clone)]
 pub struct WorkerClient {
     http: HttpClient,
@@ -17,8 +18,8 @@
 impl Default for WorkerClient {
     fn default() -> Self {
         WorkerClient {
-            // Idle connections to hundreds of workers would use up the sockets, and each worker
-            // is sent something every few seconds at most.
+            // Idle connections to hundreds of workers would exhaust the sockets, and each worker
+            // receives a message at most every few seconds.
             http: HttpClient::with_max_idle_connections(0),
             queue: Arc::default(),
         }
@@ -26,18 +27,23 @@
 }
 
 impl WorkerClient {
-    /// Sends the commands in the background, when their turn has come.
+    /// Sends the commands in the background, immediately or when a queued call can be made. The
+    /// commands are dropped if the queue is full.
+    ///
+    /// # Panics
+    ///
+    /// Panics if it spawns a task outside a Tokio runtime.
     pub fn send(&self, address: SocketAddr, commands: DirectCommands) {
         let call = WorkerCall { address, commands };
         let Some(first) = self.queue().start_or_enqueue(call) else {
             return;
         };
-        // Not joined: the task ends when no call waits, each call ends within its timeout, and
-        // nobody waits for the outcome.
+        // The spawned task is not joined. It ends when no call is queued, each call ends within its
+        // timeout, and no caller needs the outcome.
         tokio::spawn(self.clone().make_calls(first));
     }
 
-    /// Makes a call, then those that wait, one after the other, until none is left.
+    /// Makes a call and then queued calls, one at a time, until the queue is empty.
     async fn make_calls(self, first: WorkerCall) {
         let mut next = Some(first);
         while let Some(call) = next {
@@ -46,6 +52,7 @@
         }
     }
 
+    /// Makes one call. A failure is only logged.
     async fn call(&self, call: &WorkerCall) {
         let address = call.address;
         let request = HttpRequest::post("/commands", &call.commands);
@@ -59,6 +66,7 @@
         }
     }
 
+    /// Locks the queue.
     fn queue(&self) -> MutexGuard<'_, CallQueue> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,9 +1,9 @@
-//! Commands that are sent to workers directly, ahead of the responses to their heartbeats.
+//! Direct commands to workers, which are sent without waiting for the workers' next heartbeats.
 //!
-//! A message stops tasks, or has no command and only tells a higher fencing token, so that the
-//! worker sends a heartbeat at once. It never starts a task: a start that comes late could run the
-//! task twice, while a stop that comes late does no harm. Messages may be lost: what they stop is
-//! also in the response to the worker's next heartbeat.
+//! A message either stops tasks or contains no command and only announces a higher fencing token, so
+//! that the worker sends a heartbeat immediately. A message never starts a task: a late start could
+//! run the task twice, while a late stop is harmless. Messages may be lost: the response to the
+//! worker's next heartbeat contains the same stops.
 
 mod client;
 mod queue;
--- a/src/workers/queue.rs
+++ b/src/workers/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue of messages to workers, in which those that stop tasks go first.
+//! The bounded queue of messages to workers, in which messages that stop tasks have priority.
 
 use crate::constants;
 use crate::wire::worker::DirectCommands;
@@ -8,25 +8,27 @@
 /// One message to a worker.
 #[derive(Debug)]
 pub(super) struct WorkerCall {
-    /// Where the worker takes direct commands.
+    /// Address at which the worker accepts direct commands.
     pub(super) address: SocketAddr,
-    /// The message.
+    /// The commands to send; empty if the message only announces a fencing token.
     pub(super) commands: DirectCommands,
 }
 
-/// Calls that wait, and the number of those that are being made.
+/// The queued calls, and the number of calls in flight.
 #[derive(Debug, Default)]
 pub(super) struct CallQueue {
-    /// Calls with commands.
+    /// Queued calls with commands, all of which are stops.
     stops: VecDeque<WorkerCall>,
-    /// Calls without commands, which only tell a fencing token.
+    /// Queued calls without commands, which only announce a fencing token.
     token_updates: VecDeque<WorkerCall>,
+    /// Number of calls in flight.
     in_flight: usize,
 }
 
 impl CallQueue {
-    /// Returns the call if it may be made now. Otherwise it is queued, or dropped if its queue is
-    /// full. For each call that is returned, [`CallQueue::finish_and_take_next`] is due once.
+    /// Returns the call if it may be made now. Otherwise the call is queued, or dropped if its queue
+    /// is full. The caller must call [`CallQueue::finish_and_take_next`] once for each call that was
+    /// returned and has ended.
     pub(super) fn start_or_enqueue(&mut self, call: WorkerCall) -> Option<WorkerCall> {
         if self.in_flight < constants::MAX_WORKER_CALLS {
             self.in_flight += 1;
@@ -45,7 +47,7 @@
         None
     }
 
-    /// Notes that a call has ended, and returns the one to make in its place.
+    /// Records that a call has ended, and returns the next call to make, if one is queued.
     pub(super) fn finish_and_take_next(&mut self) -> Option<WorkerCall> {
         let next = self
             .stops
--- a/src/workers/queue/tests.rs
+++ b/src/workers/queue/tests.rs
@@ -16,8 +16,8 @@
     WorkerCall { address, commands }
 }
 
-/// A round calls each of its machines; the stops of a gang that come after it must not be dropped
-/// for want of room.
+/// Guards against dropped stops: a round sends a token update to each of its machines, and the stops
+/// of a gang that are enqueued after them must neither wait for them nor find the queue full.
 #[test]
 fn stops_are_sent_before_token_updates() {
     let mut queue = CallQueue::default();
@@ -25,12 +25,19 @@
         queue.start_or_enqueue(call(port, 0));
     }
     for port in 300..320 {
-        assert!(queue.start_or_enqueue(call(port, 1)).is_none(), "it waits");
+        assert!(
+            queue.start_or_enqueue(call(port, 1)).is_none(),
+            "the call is queued"
+        );
     }
     let stops: Vec<u16> = (0..20)
         .map(|_| queue.finish_and_take_next().unwrap().address.port())
         .collect();
-    assert_eq!(stops, (300..320).collect::<Vec<u16>>(), "stops come first");
+    assert_eq!(
+        stops,
+        (300..320).collect::<Vec<u16>>(),
+        "stops are taken first"
+    );
     let mut token_updates = 0;
     while queue.finish_and_take_next().is_some() {
         token_updates += 1;
@@ -38,7 +45,7 @@
     assert_eq!(
         token_updates,
         300 - constants::MAX_WORKER_CALLS,
-        "and the token updates after them"
+        "queued token updates are taken after the stops"
     );
     for _ in 1..constants::MAX_WORKER_CALLS {
         assert!(queue.finish_and_take_next().is_none());
@@ -47,7 +54,7 @@
 }
 
 #[test]
-fn the_queue_is_bounded() {
+fn stops_beyond_the_queue_limit_are_dropped() {
     let mut queue = CallQueue::default();
     for port in 0..u16::MAX {
         queue.start_or_enqueue(call(port, 1));
