--- a/src/engine/autoscaling/consolidation.rs
+++ b/src/engine/autoscaling/consolidation.rs
@@ -87,8 +87,8 @@
         (is_replica && self.has_run_for_minimum_time(placement)).then_some(&job.spec)
     }
 
-    /// Reports whether the task has run for [`constants::MIN_RUN_BEFORE_PREEMPTION`] and no stop of it
-    /// was requested.
+    /// Reports whether the task has run for [`constants::MIN_RUN_BEFORE_PREEMPTION`] and its stop has
+    /// not been requested.
     fn has_run_for_minimum_time(&self, placement: &Placement) -> bool {
         let running = PlacementStage::Reported(TaskState::Running);
         let movable_from = placement.stage_since + constants::MIN_RUN_BEFORE_PREEMPTION;
--- a/src/engine/autoscaling/housekeeping.rs
+++ b/src/engine/autoscaling/housekeeping.rs
@@ -1,5 +1,5 @@
 //! Housekeeping: a periodic pass over the fleet that decides which machines are returned, and which
-//! tasks are stopped with time for a checkpoint because their machine will be preempted.
+//! tasks are stopped to write a checkpoint because their machine will be preempted.
 
 use super::Autoscaling;
 use crate::constants;
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Stops tasks on machines that will be preempted, as late as still leaves time to write a
-    /// checkpoint.
+    /// Stops each task on a machine that will be preempted, once the remaining time is just enough to
+    /// write a checkpoint.
     fn stop_preempted_tasks(&mut self, preempted: Vec<PreemptedTask>) {
         for PreemptedTask { task, time_left } in preempted {
             let Some(job) = self.jobs.get(&task.job) else {
--- a/src/engine/autoscaling/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Reports whether a rental pass is due and can rely on what is known of the fleet.
+    /// Reports whether a rental pass is due and the state of the fleet is known well enough for it.
     fn is_rental_pass_due(&mut self) -> bool {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader() else {
--- a/src/engine/autoscaling/preemption.rs
+++ b/src/engine/autoscaling/preemption.rs
@@ -24,10 +24,9 @@
 impl Engine {
     /// Chooses the tasks to stop for the first waiting job that cannot get rented machines: the cloud
     /// has recently refused offers, and the machines that accept tasks now or soon have no resources
-    /// left for the job.
-    /// The plan also lists the jobs for which no victims were found. A pass stops after
-    /// [`constants::MAX_PREEMPTION_SEARCHES`] of them, because each search iterates over all running
-    /// tasks.
+    /// left for the job. The plan also lists the jobs for which no victims were found. A pass stops
+    /// after [`constants::MAX_PREEMPTION_SEARCHES`] of them, because each search iterates over all
+    /// running tasks.
     pub(super) fn plan_preemption(&self, candidates: &[Candidate<'_>]) -> PreemptionPlan {
         let now = self.context.now();
         let mut plan = PreemptionPlan::default();
--- a/src/engine/autoscaling/return_reason.rs
+++ b/src/engine/autoscaling/return_reason.rs
@@ -22,7 +22,7 @@
     Preempted,
     /// The machine was quarantined after failures of tasks, and is now empty.
     Quarantined,
-    /// The machine was drained, and is now empty.
+    /// The machine was drained and is now empty: its replicas were moved to other machines.
     Drained,
     /// The machine has been idle for longer than the configured limit.
     Idle,
--- a/src/engine/heartbeats/failures.rs
+++ b/src/engine/heartbeats/failures.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 impl Engine {
-    /// Handles the failure of a task: delays the job's restart and counts the failure against the
+    /// Handles the failure of a task: delays the job's restart and records the job as failed on the
     /// machine. A machine on which [`constants::QUARANTINE_AFTER_JOBS`] jobs have failed is
     /// quarantined.
     pub(super) fn on_task_failed(&mut self, machine: &MachineId, id: &JobId) {
