--- a/src/engine/machine_types.rs
+++ b/src/engine/machine_types.rs
@@ -55,8 +55,8 @@
                 self.retry
                     .succeeded(context.now() + constants::MACHINE_TYPES_INTERVAL);
             }
-            unexpected => {
-                if let Err(error) = unexpected {
+            other => {
+                if let Err(error) = other {
                     tracing::debug!(%error, "reading machine types failed");
                 }
                 self.retry.failed(context);
