--- a/src/autoscaler/arrivals.rs
+++ b/src/autoscaler/arrivals.rs
@@ -27,7 +27,7 @@
 
     /// Jobs to expect while a machine boots, as copies of the latest arrivals of their class. Only
     /// for classes with an objective that a job misses if a machine has to be rented for it first.
-    pub fn expected(
+    pub fn expected_jobs(
         &self,
         now: UnixTime,
         types: &MachineTypes,
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -119,7 +119,7 @@
         capacity: machine_type.capacity,
         available: machine_type.capacity,
         free_task_slots: MAX_TASKS_PER_MACHINE,
-        long_running: Resources::default(),
+        used_by_services: Resources::default(),
         images: Vec::new(),
         fetching: Vec::new(),
         boot_gb: machine_type.boot_gb(),
--- a/src/autoscaler/plan.rs
+++ b/src/autoscaler/plan.rs
@@ -21,9 +21,9 @@
 #[derive(Debug, Default)]
 pub struct ScalingPlan {
     /// Number of machines to rent of each offer.
-    pub rent: BTreeMap<MachineOffer, u64>,
+    pub rentals: BTreeMap<MachineOffer, u64>,
     /// Machines that are kept although they may be idle.
-    pub keep: BTreeSet<MachineId>,
+    pub machines_to_keep: BTreeSet<MachineId>,
 }
 
 /// Plans the machines to rent, at most `max_rentals`, so that the waiting tasks find room, given
@@ -46,7 +46,7 @@
             .used_machines()
             .filter(|machine_index| *machine_index < known_machines)
             .map(|machine_index| snapshots[machine_index].id.clone());
-        plan.keep.extend(kept);
+        plan.machines_to_keep.extend(kept);
         trial.allocate(job, &mut snapshots);
     }
     let new_machines = snapshots.into_iter().skip(known_machines);
@@ -56,7 +56,7 @@
             zone: snapshot.zone,
             spot: snapshot.spot,
         };
-        *plan.rent.entry(offer).or_insert(0) += 1;
+        *plan.rentals.entry(offer).or_insert(0) += 1;
     }
     plan
 }
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -51,7 +51,7 @@
         placed_by_zone: TasksByZone::new(),
     }];
     scaling_plan(&waiting, Vec::new(), &types, &offers, 50)
-        .rent
+        .rentals
         .into_iter()
         .collect()
 }
@@ -119,10 +119,10 @@
     }
 }
 
-fn expected_jobs(history: &ArrivalHistory, now_ms: u64) -> usize {
+fn expected_job_count(history: &ArrivalHistory, now_ms: u64) -> usize {
     let objectives = [start_objective()];
     history
-        .expected(UnixTime::from_millis(now_ms), &machine_types(), &objectives)
+        .expected_jobs(UnixTime::from_millis(now_ms), &machine_types(), &objectives)
         .len()
 }
 
@@ -141,7 +141,7 @@
             interval_ms: 1,
         },
     );
-    assert_eq!(expected_jobs(&history, 1_400_000), 0);
+    assert_eq!(expected_job_count(&history, 1_400_000), 0);
     record_arrivals(
         &mut history,
         &spec,
@@ -153,7 +153,7 @@
         },
     );
     // One in 10 s, and 45 s (with a margin of a half) from renting to running: 7.
-    assert_eq!(expected_jobs(&history, 1_400_000), 7);
+    assert_eq!(expected_job_count(&history, 1_400_000), 7);
 }
 
 /// One job in 2 s; 30 s for a boot and 15 s for the image, with a margin of a half 67.5 s for both.
@@ -174,7 +174,7 @@
                 interval_ms: 2_000,
             },
         );
-        expected_jobs(&history, 1_180_000)
+        expected_job_count(&history, 1_180_000)
     };
     assert_eq!(expected(JobKind::Array, 9.0), 12, "as many as run at once");
     assert_eq!(
--- a/src/engine/autoscaling/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -23,7 +23,7 @@
 use crate::autoscaler::WaitingJob;
 use crate::constants;
 use crate::model::{JobId, Machine, MachineId, MachinePhase, Timestamp};
-use crate::placement::{Candidate, Unplaced};
+use crate::placement::{Candidate, UnplacedTasks};
 use machine_list::MachineListing;
 use refusals::RefusedOffers;
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(super) struct Autoscaling {
     /// Tasks for which the last scheduling pass found no resources, by job in the order of service.
-    demand: Vec<Unplaced>,
+    demand: Vec<UnplacedTasks>,
     refusals: RefusedOffers,
     /// Rental requests made in this term. Term and count together name a request.
     rental_requests: u64,
@@ -101,7 +101,7 @@
     }
 
     /// Sets the tasks that a scheduling pass has left unplaced.
-    fn set_demand(&mut self, unplaced: Vec<Unplaced>, now: Timestamp) {
+    fn set_demand(&mut self, unplaced: Vec<UnplacedTasks>, now: Timestamp) {
         // The first tasks that wait don't wait for the next pass as well.
         if self.demand.is_empty() && !unplaced.is_empty() {
             self.next_rental_pass_at = now;
@@ -112,7 +112,7 @@
 
 impl Engine {
     /// Takes the unplaced tasks of a scheduling pass as the demand.
-    pub(super) fn set_demand(&mut self, unplaced: Vec<Unplaced>) {
+    pub(super) fn set_demand(&mut self, unplaced: Vec<UnplacedTasks>) {
         let now = self.context.now();
         if let Some(leader) = self.leadership.leader_mut() {
             leader.autoscaling.set_demand(unplaced, now);
@@ -156,13 +156,13 @@
         let preemption = self.plan_preemption(&candidates);
         let scaling = self.scaling_plan(&candidates);
         if let Some(leader) = self.leadership.leader_mut() {
-            leader.autoscaling.reserved = scaling.keep;
+            leader.autoscaling.reserved = scaling.machines_to_keep;
         }
         self.pause_preemption(preemption.without_victims);
         if let Some(preemption) = preemption.preemption {
             self.preempt(preemption);
         }
-        self.scale_out(scaling.rent);
+        self.scale_out(scaling.rentals);
     }
 
     /// Whether a machine is about to come up. One that is overdue is not counted on.
--- a/src/engine/autoscaling/scale_out.rs
+++ b/src/engine/autoscaling/scale_out.rs
@@ -100,7 +100,7 @@
         let unix_time = self.context.unix_time();
         let now = self.context.now();
         self.arrival_history
-            .expected(unix_time, types, objectives)
+            .expected_jobs(unix_time, types, objectives)
             .into_iter()
             .map(|spec| Job::new(spec, 0, Default::default(), JobPhase::Open, now))
             .collect()
--- a/src/engine/machines/snapshot.rs
+++ b/src/engine/machines/snapshot.rs
@@ -43,7 +43,7 @@
                 capacity: machine_type.capacity,
                 available: machine_type.capacity - load.used,
                 free_task_slots: constants::MAX_TASKS_PER_MACHINE.saturating_sub(tasks),
-                long_running: load.long_running,
+                used_by_services: load.long_running,
                 images: images.map(|(name, _)| name.clone()).collect(),
                 fetching: left_to_fetch(load.fetches, machine_type.fetch_gb_per_s, at),
                 boot_gb: machine_type.boot_gb(),
--- a/src/engine/machines/tests.rs
+++ b/src/engine/machines/tests.rs
@@ -67,7 +67,7 @@
     machines.refresh_snapshots(&jobs, Some(&types()), instant(0));
     let snapshot = &schedulable(&machines)[0];
     assert_eq!(snapshot.available, snapshot.capacity - request);
-    assert_eq!(snapshot.long_running, request);
+    assert_eq!(snapshot.used_by_services, request);
     assert!(machines.snapshots_agree(&jobs, instant(0)));
 }
 
--- a/src/placement/consolidation/tests.rs
+++ b/src/placement/consolidation/tests.rs
@@ -54,7 +54,7 @@
     let no_room = [machine_with("a", "east", 6), machine_with("b", "east", 3)];
     assert_eq!(machine_to_drain(&no_room, &[("b", 3)]), None);
     let mut no_services = [machine_with("a", "east", 5), machine_with("b", "east", 3)];
-    no_services[0].long_running = Resources::default();
+    no_services[0].used_by_services = Resources::default();
     assert_eq!(machine_to_drain(&no_services, &[("b", 3)]), None);
 }
 
@@ -87,7 +87,7 @@
         .iter()
         .filter(|snapshot| snapshot.id != source.id && snapshot.zone == source.zone)
         .filter(|snapshot| {
-            snapshot.long_running != Resources::default()
+            snapshot.used_by_services != Resources::default()
                 && snapshot.used_permille() >= source.used_permille()
         })
         .cloned()
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -26,7 +26,7 @@
 pub use constraints::TasksByZone;
 pub use planner::plan_round;
 pub use quota::QuotaUsage;
-pub use round::{RoundLimits, RoundPlan, TaskStart, Unplaced};
+pub use round::{RoundLimits, RoundPlan, TaskStart, UnplacedTasks};
 pub use snapshot::{MachineSnapshot, PendingFetch};
 
 pub(crate) use constraints::{add_tasks, is_eligible, zone_headroom};
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -5,7 +5,7 @@
 use super::packing::{Assignment, assign_tasks, assigned_tasks};
 use super::quota::QuotaUsage;
 use super::reservation::reserve_for_gang;
-use super::round::{RoundLimits, RoundPlan, TaskStart, Unplaced};
+use super::round::{RoundLimits, RoundPlan, TaskStart, UnplacedTasks};
 use super::snapshot::MachineSnapshot;
 use crate::constants::MAX_UNPLACED_TASKS;
 use crate::model::{JobId, JobSpec};
@@ -126,7 +126,7 @@
         if unplaced > 0 {
             let released = spec.request.times(u64::from(unplaced));
             self.quotas.release(&spec.team, released);
-            self.plan.unplaced.push(Unplaced {
+            self.plan.unplaced.push(UnplacedTasks {
                 job: candidate.id.clone(),
                 tasks: unplaced.min(MAX_UNPLACED_TASKS),
             });
@@ -145,7 +145,7 @@
         let assignments = fits_in_round.then(|| assign_gang(spec, open)).flatten();
         let Some(assignments) = assignments else {
             self.quotas.release(&spec.team, total_request);
-            self.plan.unplaced.push(Unplaced {
+            self.plan.unplaced.push(UnplacedTasks {
                 job: candidate.id.clone(),
                 tasks: spec.tasks,
             });
--- a/src/placement/reservation/tests.rs
+++ b/src/placement/reservation/tests.rs
@@ -57,7 +57,7 @@
     let gang = gang_of_whole_machines(3, false);
     assert!(reserved(&gang, &mut machines).is_empty());
     // A service on a machine does not end.
-    machines[0].long_running.gpus = 1000;
+    machines[0].used_by_services.gpus = 1000;
     let gang = gang_of_whole_machines(2, false);
     assert!(reserved(&gang, &mut machines).is_empty());
 }
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -26,7 +26,7 @@
 
 /// Tasks of a job that its team's limit allows but that find no room.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unplaced {
+pub struct UnplacedTasks {
     /// The job.
     pub job: JobId,
     /// Number of its tasks without room.
@@ -41,5 +41,5 @@
     /// Starts of one gang that one transaction cannot write: a round of its own.
     pub large_gang: Vec<TaskStart>,
     /// Tasks without room, by job in the order of service.
-    pub unplaced: Vec<Unplaced>,
+    pub unplaced: Vec<UnplacedTasks>,
 }
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -24,7 +24,7 @@
     /// How many more tasks its heartbeats can list.
     pub free_task_slots: u32,
     /// Resources held by tasks that do not end by themselves (services).
-    pub long_running: Resources,
+    pub used_by_services: Resources,
     /// Images in its cache.
     pub images: Vec<Arc<str>>,
     /// Images that it fetches, or will fetch for tasks that are about to start.
@@ -63,7 +63,7 @@
         self.available = self.available - request;
         self.free_task_slots = self.free_task_slots.saturating_sub(count);
         if spec.kind == JobKind::Service {
-            self.long_running += request;
+            self.used_by_services += request;
         }
         if !self.has_image_of(spec) && !self.is_fetching(&spec.image) {
             self.fetching.push(PendingFetch {
@@ -128,12 +128,12 @@
 
     /// Resources that are available once every task but services has ended.
     pub(super) fn available_besides_services(&self) -> Resources {
-        self.capacity - self.long_running
+        self.capacity - self.used_by_services
     }
 
     /// Whether tasks of services are on it.
     pub(super) fn holds_services(&self) -> bool {
-        self.long_running != Resources::default()
+        self.used_by_services != Resources::default()
     }
 
     fn is_fetching(&self, image: &Arc<str>) -> bool {
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -18,7 +18,7 @@
         capacity,
         available: capacity,
         free_task_slots: MAX_TASKS_PER_MACHINE,
-        long_running: Resources::default(),
+        used_by_services: Resources::default(),
         images: Vec::new(),
         fetching: Vec::new(),
         boot_gb: 10.0,
