--- a/src/autoscaler/arrivals.rs
+++ b/src/autoscaler/arrivals.rs
@@ -33,30 +33,30 @@
         types: &MachineTypes,
         objectives: &[ServiceLevelObjective],
     ) -> Vec<JobSpec> {
-        let window = self.window(now);
+        let window = self.rate_window(now);
         let mut expected = Vec::new();
         for (class, specs) in self.latest_by_class(now, window) {
             let startup = specs.iter().find_map(|spec| {
                 let startup = Startup::shortest(spec, types)?;
                 startup
-                    .misses_objective(class, objectives)
+                    .exceeds_wait_objective(class, objectives)
                     .then_some(startup)
             });
             let Some(startup) = startup else {
                 continue;
             };
-            let count = expected_count(&specs, startup, window);
+            let count = expected_concurrent_jobs(&specs, startup, window);
             expected.extend(specs.into_iter().take(count).map(without_image));
         }
         expected
     }
 
     /// The time over which the rate of arrivals is taken.
-    fn window(&self, now: UnixTime) -> Duration {
+    fn rate_window(&self, now: UnixTime) -> Duration {
         let first = self.arrivals.keys().next();
         let first = first.map_or(now, |(ready_at, _)| *ready_at);
-        let history = now.saturating_since(first);
-        history.clamp(Duration::from_millis(1), ARRIVAL_WINDOW)
+        let recorded_span = now.saturating_since(first);
+        recorded_span.clamp(Duration::from_millis(1), ARRIVAL_WINDOW)
     }
 
     /// Arrivals within the window by class, the latest first.
@@ -78,13 +78,13 @@
 /// How many jobs of a class hold resources at the same time, if they arrive for the lead time of
 /// `startup` at the rate of the window. A job that ends within the lead time leaves its resources
 /// to a later one.
-fn expected_count(specs: &[&JobSpec], startup: Startup, window: Duration) -> usize {
+fn expected_concurrent_jobs(specs: &[&JobSpec], startup: Startup, window: Duration) -> usize {
     let lead_time = startup.lead_time();
-    let held = specs
+    let total_occupancy = specs
         .iter()
         .map(|spec| startup.occupancy(spec).min(lead_time))
         .fold(Duration::ZERO, Duration::saturating_add);
-    let count = held.as_millis().div_ceil(window.as_millis());
+    let count = total_occupancy.as_millis().div_ceil(window.as_millis());
     usize::try_from(count).unwrap_or(usize::MAX)
 }
 
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -86,7 +86,7 @@
         self.offers
             .iter()
             .filter(is_eligible)
-            .filter_map(|offer| self.priced(offer, spec))
+            .filter_map(|offer| self.priced_offer(offer, spec))
             .min_by(|left, right| {
                 left.task_price
                     .total_cmp(&right.task_price)
@@ -95,7 +95,11 @@
             .map(|cheapest| new_machine(cheapest.offer, cheapest.machine_type))
     }
 
-    fn priced<'a>(&'a self, offer: &'a MachineOffer, spec: &JobSpec) -> Option<PricedOffer<'a>> {
+    fn priced_offer<'a>(
+        &'a self,
+        offer: &'a MachineOffer,
+        spec: &JobSpec,
+    ) -> Option<PricedOffer<'a>> {
         let machine_type = self.types.get(&offer.machine_type)?;
         if !spec.request.fits_in(machine_type.capacity) {
             return None;
--- a/src/autoscaler/plan.rs
+++ b/src/autoscaler/plan.rs
@@ -36,20 +36,20 @@
     max_rentals: u64,
 ) -> ScalingPlan {
     let catalog = Catalog { types, offers };
-    let known_machines = snapshots.len();
+    let existing_machine_count = snapshots.len();
     let mut plan = ScalingPlan::default();
     for job in waiting {
-        let Some(trial) = place_on_trial(job, &snapshots, catalog) else {
+        let Some(trial) = trial_placement(job, &snapshots, catalog) else {
             continue;
         };
-        let kept = trial
-            .used_machines()
-            .filter(|machine_index| *machine_index < known_machines)
+        let kept_machines = trial
+            .used_machine_indices()
+            .filter(|machine_index| *machine_index < existing_machine_count)
             .map(|machine_index| snapshots[machine_index].id.clone());
-        plan.machines_to_keep.extend(kept);
+        plan.machines_to_keep.extend(kept_machines);
         trial.allocate(job, &mut snapshots);
     }
-    let new_machines = snapshots.into_iter().skip(known_machines);
+    let new_machines = snapshots.into_iter().skip(existing_machine_count);
     for snapshot in new_machines.take(max_rentals as usize) {
         let offer = MachineOffer {
             machine_type: snapshot.machine_type,
@@ -63,7 +63,7 @@
 
 /// Places a job's waiting tasks. For a job that needs one zone, each zone is tried for all of them,
 /// and the one with the cheapest new machines is taken; `None` if no zone fits.
-fn place_on_trial(
+fn trial_placement(
     waiting: &WaitingJob<'_>,
     snapshots: &[MachineSnapshot],
     catalog: Catalog<'_>,
@@ -86,14 +86,14 @@
 /// Allocates a job's waiting tasks on the machines that are there, if all of them find room, and
 /// returns whether they did. For a job that needs one zone, only the zone of the best machine is tried.
 pub fn try_allocate(waiting: &WaitingJob<'_>, snapshots: &mut Vec<MachineSnapshot>) -> bool {
-    let nothing_offered = Catalog {
+    let empty_catalog = Catalog {
         types: &MachineTypes::new(),
         offers: &[],
     };
-    let trial = TrialPlacement::new(waiting, snapshots, nothing_offered, None);
-    let complete = trial.is_complete(waiting);
-    if complete {
+    let trial = TrialPlacement::new(waiting, snapshots, empty_catalog, None);
+    let is_complete = trial.is_complete(waiting);
+    if is_complete {
         trial.allocate(waiting, snapshots);
     }
-    complete
+    is_complete
 }
--- a/src/autoscaler/startup.rs
+++ b/src/autoscaler/startup.rs
@@ -18,19 +18,19 @@
 impl Startup {
     /// The shortest startup on the machine types that fit a task of the job; `None` if none does.
     pub(super) fn shortest(spec: &JobSpec, types: &MachineTypes) -> Option<Startup> {
-        let may_use = |machine_type: &&MachineType| {
+        let is_usable = |machine_type: &&MachineType| {
             let names = spec.machine_types.as_ref();
             spec.request.fits_in(machine_type.capacity)
                 && names.is_none_or(|names| names.contains(&machine_type.name))
         };
         types
             .values()
-            .filter(may_use)
-            .map(|machine_type| Startup::on(machine_type, spec.image_gb))
+            .filter(is_usable)
+            .map(|machine_type| Startup::on_machine_type(machine_type, spec.image_gb))
             .min_by_key(|startup| startup.total())
     }
 
-    fn on(machine_type: &MachineType, image_gb: f64) -> Startup {
+    fn on_machine_type(machine_type: &MachineType, image_gb: f64) -> Startup {
         let gb_per_s = machine_type
             .fetch_gb_per_s
             .max(constants::MIN_FETCH_GB_PER_S);
@@ -62,7 +62,7 @@
     }
 
     /// Whether a job that waits for this startup misses its class's objective for waiting.
-    pub(super) fn misses_objective(
+    pub(super) fn exceeds_wait_objective(
         self,
         class: &str,
         objectives: &[ServiceLevelObjective],
--- a/src/autoscaler/trial.rs
+++ b/src/autoscaler/trial.rs
@@ -52,8 +52,9 @@
 
     /// Whether all waiting tasks of the job found room.
     pub(super) fn is_complete(&self, waiting: &WaitingJob<'_>) -> bool {
-        let on_new_machines: u32 = self.new_machines.iter().map(|machine| machine.tasks).sum();
-        placement::assigned_tasks(&self.assignments) + on_new_machines == waiting.tasks
+        let tasks_on_new_machines: u32 =
+            self.new_machines.iter().map(|machine| machine.tasks).sum();
+        placement::assigned_tasks(&self.assignments) + tasks_on_new_machines == waiting.tasks
     }
 
     /// Price of the new machines per hour.
@@ -65,7 +66,7 @@
     }
 
     /// Indices of the machines that are there and take tasks.
-    pub(super) fn used_machines(&self) -> impl Iterator<Item = usize> + '_ {
+    pub(super) fn used_machine_indices(&self) -> impl Iterator<Item = usize> + '_ {
         self.assignments
             .iter()
             .map(|assignment| assignment.machine_index)
--- a/src/engine/scheduling.rs
+++ b/src/engine/scheduling.rs
@@ -12,12 +12,12 @@
     pub(super) fn schedule_when_due(&mut self) {
         self.repeat_round_writes();
         let now = self.context.now();
-        let may_start = self.holds_valid_lease();
+        let has_valid_lease = self.holds_valid_lease();
         let Some(leader) = self.leadership.leader_mut() else {
             return;
         };
-        let writing = leader.rounds.is_writing_single();
-        if writing || !leader.scheduling.is_due(now) || !may_start {
+        let is_writing = leader.rounds.is_writing_single();
+        if is_writing || !leader.scheduling.is_due(now) || !has_valid_lease {
             return;
         }
         leader.scheduling.begin_pass(now);
@@ -60,8 +60,8 @@
             constants::CONDITIONS_PER_MUTATION * self.context.settings().cluster.state.txn_ops;
         let leader = self.leadership.leader();
         RoundLimits {
-            starts: records * self.starts_per_record(),
-            jobs: conditions - 1 - records,
+            max_starts: records * self.starts_per_record(),
+            max_jobs: conditions - 1 - records,
             allows_large_gang: leader.is_some_and(|leader| !leader.rounds.is_writing_several()),
         }
     }
@@ -95,7 +95,7 @@
     /// Jobs that may start tasks now, in the order in which they are served.
     pub(super) fn candidates(&self) -> Vec<Candidate<'_>> {
         let within_guarantee = self.jobs_within_guarantee();
-        let orphaned: BTreeSet<&JobId> = self
+        let jobs_with_orphans: BTreeSet<&JobId> = self
             .leadership
             .leader()
             .into_iter()
@@ -106,7 +106,7 @@
             .jobs
             .iter()
             // No task of a job starts while a machine still has one that is unaccounted for.
-            .filter(|(id, job)| self.may_start_tasks(job) && !orphaned.contains(id))
+            .filter(|(id, job)| self.can_start_tasks(job) && !jobs_with_orphans.contains(id))
             .filter_map(|(id, job)| {
                 Some(Candidate {
                     id,
@@ -122,7 +122,7 @@
     }
 
     /// Whether tasks of the job wait and may be started now.
-    fn may_start_tasks(&self, job: &Job) -> bool {
+    fn can_start_tasks(&self, job: &Job) -> bool {
         job.is_open()
             && !job.pending.is_empty()
             && job.backoff_until <= self.context.now()
@@ -133,33 +133,33 @@
     /// The job's placed tasks by zone; `None` while a machine's zone is not known yet.
     fn placed_tasks_by_zone(&self, job: &Job) -> Option<BTreeMap<Arc<str>, u32>> {
         let leader = self.leadership.leader()?;
-        let mut zones = BTreeMap::new();
+        let mut tasks_by_zone = BTreeMap::new();
         for placement in job.placements.values() {
             let zone = &leader.machines.get(&placement.machine)?.zone;
             if zone.is_empty() && (job.spec.single_zone || job.spec.spread_zones) {
                 return None;
             }
-            *zones.entry(zone.clone()).or_insert(0) += 1;
+            *tasks_by_zone.entry(zone.clone()).or_insert(0) += 1;
         }
-        Some(zones)
+        Some(tasks_by_zone)
     }
 
     /// Jobs that fit into their team's guarantee together with the team's earlier ones.
     pub(super) fn jobs_within_guarantee(&self) -> BTreeSet<JobId> {
-        let mut open: Vec<_> = self.jobs.iter().filter(|(_, job)| job.is_open()).collect();
-        open.sort_by_key(|(id, job)| (job.submitted_at, *id));
+        let mut open_jobs: Vec<_> = self.jobs.iter().filter(|(_, job)| job.is_open()).collect();
+        open_jobs.sort_by_key(|(id, job)| (job.submitted_at, *id));
         let mut requested: BTreeMap<&str, Resources> = BTreeMap::new();
-        let mut within = BTreeSet::new();
-        for (id, job) in open {
+        let mut within_guarantee = BTreeSet::new();
+        for (id, job) in open_jobs {
             let Some(team) = self.context.settings().team(&job.spec.team) else {
                 continue;
             };
             let total = requested.entry(&job.spec.team).or_default();
             *total += job.spec.total_request();
             if team.guarantee().is_bounded() && team.guarantee().allows(*total) {
-                within.insert(id.clone());
+                within_guarantee.insert(id.clone());
             }
         }
-        within
+        within_guarantee
     }
 }
--- a/src/placement/candidate.rs
+++ b/src/placement/candidate.rs
@@ -22,7 +22,7 @@
 
 impl Candidate<'_> {
     /// Whether machines are reserved for it while it finds no room.
-    pub(super) fn reserves_machines(&self) -> bool {
+    pub(super) fn can_reserve_machines(&self) -> bool {
         self.starving && self.job.spec.kind == JobKind::Gang
     }
 
@@ -69,7 +69,7 @@
 /// The least available resources of a machine that can matter to a round. A machine with less fits
 /// no candidate's task; but if machines are reserved for a gang, full ones count as well.
 pub fn min_available(candidates: &[Candidate<'_>]) -> Resources {
-    if candidates.iter().any(Candidate::reserves_machines) {
+    if candidates.iter().any(Candidate::can_reserve_machines) {
         return Resources::default();
     }
     min_request(candidates).unwrap_or_default()
--- a/src/placement/consolidation.rs
+++ b/src/placement/consolidation.rs
@@ -30,27 +30,27 @@
     candidates: &[Drainable<'_>],
     snapshots: &[MachineSnapshot],
 ) -> Option<MachineId> {
-    let sources = sources(candidates, snapshots);
-    let targets = targets(&sources, snapshots);
+    let sources = drain_sources(candidates, snapshots);
+    let targets = replica_targets(&sources, snapshots);
     sources
         .into_iter()
-        .find(|source| all_find_room(source, &targets))
+        .find(|source| can_move_all_replicas(source, &targets))
         .map(|source| source.drainable.machine.clone())
 }
 
 /// The candidates that may be drained, the least used first.
-fn sources<'a>(
+fn drain_sources<'a>(
     candidates: &'a [Drainable<'_>],
     snapshots: &'a [MachineSnapshot],
 ) -> Vec<Source<'a>> {
-    let by_id: BTreeMap<&MachineId, &MachineSnapshot> = snapshots
+    let snapshots_by_id: BTreeMap<&MachineId, &MachineSnapshot> = snapshots
         .iter()
         .map(|snapshot| (&snapshot.id, snapshot))
         .collect();
     let mut sources: Vec<Source<'_>> = candidates
         .iter()
         .filter_map(|drainable| {
-            let snapshot = *by_id.get(&drainable.machine)?;
+            let snapshot = *snapshots_by_id.get(&drainable.machine)?;
             Some(Source {
                 used_permille: snapshot.used_permille(),
                 drainable,
@@ -64,7 +64,7 @@
 }
 
 /// Machines that hold services and have room for some replica: few in a busy cluster.
-fn targets<'a>(
+fn replica_targets<'a>(
     sources: &[Source<'_>],
     snapshots: &'a [MachineSnapshot],
 ) -> Vec<&'a MachineSnapshot> {
@@ -75,30 +75,30 @@
     };
     snapshots
         .iter()
-        .filter(|snapshot| snapshot.holds_services())
+        .filter(|snapshot| snapshot.has_services())
         .filter(|snapshot| min_request.fits_in(snapshot.available))
         .collect()
 }
 
 /// Whether each replica has room on a target that is at least as full and has its image. Targets
 /// are of the same zone, so that the distribution over zones stays as it is.
-fn all_find_room(source: &Source<'_>, targets: &[&MachineSnapshot]) -> bool {
-    let may_take = |target: &MachineSnapshot| {
+fn can_move_all_replicas(source: &Source<'_>, targets: &[&MachineSnapshot]) -> bool {
+    let is_allowed_target = |target: &MachineSnapshot| {
         target.id != source.snapshot.id
             && target.zone == source.snapshot.zone
             && target.used_permille() >= source.used_permille
     };
     // Copies of the targets that were given replicas, by index.
-    let mut filled: BTreeMap<usize, MachineSnapshot> = BTreeMap::new();
+    let mut filled_targets: BTreeMap<usize, MachineSnapshot> = BTreeMap::new();
     source.drainable.replicas.iter().all(|spec| {
         let target_index = (0..targets.len()).find(|index| {
-            let snapshot = filled.get(index).unwrap_or(targets[*index]);
-            may_take(targets[*index]) && has_room_and_image(snapshot, spec)
+            let snapshot = filled_targets.get(index).unwrap_or(targets[*index]);
+            is_allowed_target(targets[*index]) && has_room_and_image(snapshot, spec)
         });
         let Some(index) = target_index else {
             return false;
         };
-        let snapshot = filled
+        let snapshot = filled_targets
             .entry(index)
             .or_insert_with(|| targets[index].clone());
         snapshot.allocate(spec, 1);
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -19,15 +19,15 @@
     snapshots: &[MachineSnapshot],
 ) -> Option<Vec<Assignment>> {
     if !spec.single_zone {
-        return assign_all(spec, snapshots, None);
+        return assign_whole_gang(spec, snapshots, None);
     }
     zones(snapshots)
         .into_iter()
-        .filter_map(|zone| assign_all(spec, snapshots, Some(zone)))
+        .filter_map(|zone| assign_whole_gang(spec, snapshots, Some(zone)))
         .min_by_key(|assignments| total_idle_permille(assignments, snapshots))
 }
 
-fn assign_all(
+fn assign_whole_gang(
     spec: &JobSpec,
     snapshots: &[MachineSnapshot],
     only_zone: Option<&Arc<str>>,
--- a/src/placement/packing.rs
+++ b/src/placement/packing.rs
@@ -30,7 +30,7 @@
     avoidable_on_demand: bool,
     /// Before fullness, since a fetch takes longer than many objectives allow and fetches on one
     /// machine share its rate.
-    image: ImageReadiness,
+    image_readiness: ImageReadiness,
     /// Services are kept apart from work that ends, or they hold many machines half empty once that
     /// work has ended.
     mixes_services: bool,
@@ -43,8 +43,8 @@
         let used = snapshot.used() + spec.request;
         MachineRank {
             avoidable_on_demand: spec.allows_spot && !snapshot.spot,
-            image: snapshot.image_readiness(&spec.image),
-            mixes_services: snapshot.holds_services() != (spec.kind == JobKind::Service),
+            image_readiness: snapshot.image_readiness(&spec.image),
+            mixes_services: snapshot.has_services() != (spec.kind == JobKind::Service),
             used_permille: Reverse(used.permille_of(snapshot.capacity)),
         }
     }
@@ -97,5 +97,5 @@
     spec.request.fits_in(snapshot.available)
         && only_zone.is_none_or(|zone| snapshot.zone == *zone)
         && snapshot.is_eligible_for(spec)
-        && (spec.image_gb <= 0.0 || snapshot.has_image_before_boot(&spec.image))
+        && (spec.image_gb <= 0.0 || snapshot.has_image_before_new_machine_boots(&spec.image))
 }
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -19,10 +19,10 @@
     quotas: &mut QuotaUsage,
     limits: RoundLimits,
 ) -> RoundPlan {
-    let open_machines = move_open_machines_first(snapshots, candidates);
+    let machines_with_room = move_machines_with_room_first(snapshots, candidates);
     let mut planner = RoundPlanner {
         snapshots,
-        open_machines,
+        machines_with_room,
         quotas,
         limits,
         jobs_with_starts: 0,
@@ -36,19 +36,20 @@
 
 /// Moves the machines that have room for the smallest request to the front, and returns their
 /// number. The others, most machines of a busy cluster, need not be looked at for each job.
-fn move_open_machines_first(
+fn move_machines_with_room_first(
     snapshots: &mut Vec<MachineSnapshot>,
     candidates: &[Candidate<'_>],
 ) -> usize {
     let Some(min_request) = min_request(candidates) else {
         return 0;
     };
-    let (open, full): (Vec<MachineSnapshot>, Vec<MachineSnapshot>) = std::mem::take(snapshots)
-        .into_iter()
-        .partition(|snapshot| min_request.fits_in(snapshot.available));
-    let count = open.len();
-    snapshots.extend(open);
-    snapshots.extend(full);
+    let (with_room, without_room): (Vec<MachineSnapshot>, Vec<MachineSnapshot>) =
+        std::mem::take(snapshots)
+            .into_iter()
+            .partition(|snapshot| min_request.fits_in(snapshot.available));
+    let count = with_room.len();
+    snapshots.extend(with_room);
+    snapshots.extend(without_room);
     count
 }
 
@@ -70,7 +71,7 @@
     /// All machines; first those with room when the pass began.
     snapshots: &'a mut [MachineSnapshot],
     /// Number of machines with room when the pass began.
-    open_machines: usize,
+    machines_with_room: usize,
     quotas: &'a mut QuotaUsage,
     limits: RoundLimits,
     /// Jobs with starts in `plan.starts`.
@@ -83,7 +84,7 @@
         let starts_before = self.plan.starts.len();
         if candidate.job.spec.kind == JobKind::Gang {
             let outcome = self.plan_gang(candidate);
-            if outcome == GangOutcome::NoRoom && candidate.reserves_machines() {
+            if outcome == GangOutcome::NoRoom && candidate.can_reserve_machines() {
                 reserve_for_gang(&candidate.job.spec, self.snapshots);
             }
         } else {
@@ -95,8 +96,10 @@
     /// Starts that the round may still hold. A full round does not end the pass: the tasks that
     /// wait for room have to be known for scaling out.
     fn remaining_starts(&self) -> usize {
-        if self.jobs_with_starts < self.limits.jobs {
-            self.limits.starts.saturating_sub(self.plan.starts.len())
+        if self.jobs_with_starts < self.limits.max_jobs {
+            self.limits
+                .max_starts
+                .saturating_sub(self.plan.starts.len())
         } else {
             0
         }
@@ -107,15 +110,15 @@
         let spec = &candidate.job.spec;
         let remaining = self.remaining_starts().min(u32::MAX as usize) as u32;
         // By how much a huge array exceeds all machines need not be known.
-        let countable = remaining.saturating_add(MAX_UNPLACED_TASKS);
+        let max_counted = remaining.saturating_add(MAX_UNPLACED_TASKS);
         let pending = candidate.job.pending.len() as u32;
         let allowed = self
             .quotas
-            .reserve(&spec.team, spec.request, pending.min(countable));
+            .reserve(&spec.team, spec.request, pending.min(max_counted));
         let assignments = assign_tasks(
             spec,
             &candidate.placed_by_zone,
-            &self.snapshots[..self.open_machines],
+            &self.snapshots[..self.machines_with_room],
             allowed.min(remaining),
             None,
         );
@@ -141,8 +144,10 @@
             return GangOutcome::OverQuota;
         }
         let fits_in_round = spec.tasks as usize <= self.remaining_starts_for_gang(spec);
-        let open = &self.snapshots[..self.open_machines];
-        let assignments = fits_in_round.then(|| assign_gang(spec, open)).flatten();
+        let with_room = &self.snapshots[..self.machines_with_room];
+        let assignments = fits_in_round
+            .then(|| assign_gang(spec, with_room))
+            .flatten();
         let Some(assignments) = assignments else {
             self.quotas.release(&spec.team, total_request);
             self.plan.unplaced.push(UnplacedTasks {
@@ -166,7 +171,7 @@
 
     /// Whether one transaction cannot write the gang's starts.
     fn is_large_gang(&self, spec: &JobSpec) -> bool {
-        spec.tasks as usize > self.limits.starts
+        spec.tasks as usize > self.limits.max_starts
     }
 
     /// Starts that the round of a gang may still hold; a large gang has a round of its own.
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -27,11 +27,11 @@
 
 impl PreemptibleTask<'_> {
     /// Whether it may be stopped for `candidate`.
-    fn gives_way_to(&self, candidate: &Candidate<'_>) -> bool {
+    fn can_be_preempted_by(&self, candidate: &Candidate<'_>) -> bool {
         let is_other_team = self.job.spec.team != candidate.job.spec.team;
         let exceeds_guarantee = !self.within_guarantee;
-        let reclaimed = candidate.within_guarantee && exceeds_guarantee && is_other_team;
-        self.job.priority() < candidate.job.priority() || reclaimed
+        let is_reclaimable = candidate.within_guarantee && exceeds_guarantee && is_other_team;
+        self.job.priority() < candidate.job.priority() || is_reclaimable
     }
 
     fn cost(&self) -> PreemptionCost {
@@ -68,7 +68,7 @@
     for (id, job) in jobs.filter(|(_, job)| job.is_open()) {
         let within_guarantee = is_within_guarantee(id);
         for (index, placement) in &job.placements {
-            if !may_stop(placement, now) {
+            if !is_preemptible(placement, now) {
                 continue;
             }
             tasks.push(PreemptibleTask {
@@ -86,7 +86,7 @@
 }
 
 /// Whether a task has run for a while: the start of one that has just begun would not count.
-fn may_stop(placement: &Placement, now: Timestamp) -> bool {
+fn is_preemptible(placement: &Placement, now: Timestamp) -> bool {
     placement.stop_request.is_none() && now >= placement.stage_since + MIN_RUN_BEFORE_PREEMPTION
 }
 
@@ -103,11 +103,11 @@
     let mut machines = preemptible_machines(candidate, snapshots, running);
     let mut victims = Vec::new();
     for _ in 0..tasks {
-        let Some(choice) = cheapest_choice(spec, &placed, &machines) else {
+        let Some(choice) = cheapest_preemption(spec, &placed, &machines) else {
             return Vec::new();
         };
         let machine = &mut machines[choice.machine_index];
-        machine.preempt(choice.victims, &mut victims);
+        machine.preempt_cheapest(choice.victims, &mut victims);
         machine.available = machine.available - spec.request;
         add_tasks(&mut placed, &machine.snapshot.zone, 1);
     }
@@ -143,7 +143,7 @@
     }
 
     /// Moves the `count` cheapest tasks to the victims.
-    fn preempt(&mut self, count: usize, victims: &mut Vec<TaskId>) {
+    fn preempt_cheapest(&mut self, count: usize, victims: &mut Vec<TaskId>) {
         for _ in 0..count {
             if let Some(victim) = self.preemptible.pop() {
                 self.available += victim.job.spec.request;
@@ -160,7 +160,10 @@
     running: &'a [PreemptibleTask<'_>],
 ) -> Vec<PreemptibleMachine<'a>> {
     let mut by_machine: BTreeMap<&MachineId, Vec<&PreemptibleTask<'_>>> = BTreeMap::new();
-    for task in running.iter().filter(|task| task.gives_way_to(candidate)) {
+    for task in running
+        .iter()
+        .filter(|task| task.can_be_preempted_by(candidate))
+    {
         by_machine.entry(&task.machine).or_default().push(task);
     }
     let mut machines = Vec::new();
@@ -188,7 +191,7 @@
 }
 
 /// The cheapest way to make room for one more task.
-fn cheapest_choice(
+fn cheapest_preemption(
     spec: &JobSpec,
     placed: &TasksByZone,
     machines: &[PreemptibleMachine<'_>],
--- a/src/placement/quota.rs
+++ b/src/placement/quota.rs
@@ -23,19 +23,19 @@
         *self.used.entry(team.clone()).or_default() += resources;
     }
 
-    /// Reserves `request` for a team up to `max_times` times, as far as its limit allows; returns
+    /// Reserves `request` for a team up to `max_count` times, as far as its limit allows; returns
     /// how many times it did.
-    pub(super) fn reserve(&mut self, team: &Arc<str>, request: Resources, max_times: u32) -> u32 {
+    pub(super) fn reserve(&mut self, team: &Arc<str>, request: Resources, max_count: u32) -> u32 {
         let used = self.used_by(team);
         let remaining = self.limits.get(team).map(|limit| limit.remaining(used));
-        let times = remaining.map_or(0, |remaining| {
-            remaining.max_multiple(request).min(max_times)
+        let count = remaining.map_or(0, |remaining| {
+            remaining.max_multiple(request).min(max_count)
         });
-        if times > 0 {
+        if count > 0 {
             self.used
-                .insert(team.clone(), used + request.times(u64::from(times)));
+                .insert(team.clone(), used + request.times(u64::from(count)));
         }
-        times
+        count
     }
 
     /// Releases resources that were reserved for a team.
--- a/src/placement/reservation.rs
+++ b/src/placement/reservation.rs
@@ -12,7 +12,7 @@
 /// Machines that would hold a whole gang once their present work has ended.
 struct Reservation {
     /// Work that has to end, in thousandths of a machine.
-    ending_permille: u64,
+    permille_to_free: u64,
     /// Indices of the machines in the snapshots.
     machine_indices: Vec<usize>,
 }
@@ -21,7 +21,7 @@
 struct ReservableMachine {
     index: usize,
     /// Work on it that has to end, in thousandths of the machine.
-    ending_permille: u64,
+    permille_to_free: u64,
     /// Tasks of the gang that it then holds.
     tasks: u32,
 }
@@ -33,14 +33,14 @@
         zones(snapshots)
             .into_iter()
             .filter_map(|zone| find_reservation(spec, snapshots, Some(zone)))
-            .min_by_key(|reservation| reservation.ending_permille)
+            .min_by_key(|reservation| reservation.permille_to_free)
     } else {
         find_reservation(spec, snapshots, None)
     };
-    let reserved = reservation
+    let reserved_indices = reservation
         .into_iter()
         .flat_map(|reservation| reservation.machine_indices);
-    for index in reserved {
+    for index in reserved_indices {
         snapshots[index].available = Resources::default();
     }
 }
@@ -58,21 +58,21 @@
         .filter(|(_, snapshot)| only_zone.is_none_or(|zone| snapshot.zone == *zone))
         .filter_map(|(index, snapshot)| reservable_machine(spec, index, snapshot))
         .collect();
-    machines.sort_by_key(|machine| (machine.ending_permille, machine.index));
-    let mut unplaced = spec.tasks;
+    machines.sort_by_key(|machine| (machine.permille_to_free, machine.index));
+    let mut unassigned_tasks = spec.tasks;
     let mut reservation = Reservation {
-        ending_permille: 0,
+        permille_to_free: 0,
         machine_indices: Vec::new(),
     };
     for machine in machines {
-        if unplaced == 0 {
+        if unassigned_tasks == 0 {
             break;
         }
-        unplaced = unplaced.saturating_sub(machine.tasks);
-        reservation.ending_permille += machine.ending_permille;
+        unassigned_tasks = unassigned_tasks.saturating_sub(machine.tasks);
+        reservation.permille_to_free += machine.permille_to_free;
         reservation.machine_indices.push(machine.index);
     }
-    (unplaced == 0).then_some(reservation)
+    (unassigned_tasks == 0).then_some(reservation)
 }
 
 /// The machine, if it could take a task of the gang once all work on it but services has ended.
@@ -81,15 +81,15 @@
     index: usize,
     snapshot: &MachineSnapshot,
 ) -> Option<ReservableMachine> {
-    let reservable = snapshot.available_besides_services();
-    if !snapshot.is_eligible_for(spec) || !spec.request.fits_in(reservable) {
+    let reservable_resources = snapshot.capacity_without_services();
+    if !snapshot.is_eligible_for(spec) || !spec.request.fits_in(reservable_resources) {
         return None;
     }
-    let ending = reservable - snapshot.available;
+    let to_free = reservable_resources - snapshot.available;
     Some(ReservableMachine {
         index,
-        ending_permille: ending.permille_of(snapshot.capacity),
-        tasks: reservable
+        permille_to_free: to_free.permille_of(snapshot.capacity),
+        tasks: reservable_resources
             .max_multiple(spec.request)
             .min(MAX_TASKS_PER_MACHINE),
     })
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct RoundLimits {
     /// Starts that one transaction writes.
-    pub starts: usize,
+    pub max_starts: usize,
     /// Jobs with starts: the round's transaction compares the version of each.
-    pub jobs: usize,
+    pub max_jobs: usize,
     /// Whether a gang with more tasks than `starts` may be placed in a round of its own.
     pub allows_large_gang: bool,
 }
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -73,9 +73,9 @@
         }
     }
 
-    /// How many of `wanted` more tasks of a job fit, given its placed tasks by zone.
-    pub fn max_tasks(&self, spec: &JobSpec, placed: &TasksByZone, wanted: u32) -> u32 {
-        wanted
+    /// How many of `max_count` more tasks of a job fit, given its placed tasks by zone.
+    pub fn max_tasks(&self, spec: &JobSpec, placed: &TasksByZone, max_count: u32) -> u32 {
+        max_count
             .min(self.available.max_multiple(spec.request))
             .min(self.free_task_slots)
             .min(zone_headroom(spec, placed, &self.zone))
@@ -94,8 +94,10 @@
     /// Whether a task has its image here sooner than on a machine that has yet to boot. Fetches on
     /// one machine share its rate: with more than a boot's worth of other images ahead, a new
     /// machine is faster.
-    pub(super) fn has_image_before_boot(&self, image: &Arc<str>) -> bool {
-        self.images.contains(image) || self.is_fetching(image) || self.gb_to_fetch() <= self.boot_gb
+    pub(super) fn has_image_before_new_machine_boots(&self, image: &Arc<str>) -> bool {
+        self.images.contains(image)
+            || self.is_fetching(image)
+            || self.pending_fetch_gb() <= self.boot_gb
     }
 
     /// How soon a task would have its image here.
@@ -127,12 +129,12 @@
     }
 
     /// Resources that are available once every task but services has ended.
-    pub(super) fn available_besides_services(&self) -> Resources {
+    pub(super) fn capacity_without_services(&self) -> Resources {
         self.capacity - self.used_by_services
     }
 
     /// Whether tasks of services are on it.
-    pub(super) fn holds_services(&self) -> bool {
+    pub(super) fn has_services(&self) -> bool {
         self.used_by_services != Resources::default()
     }
 
@@ -140,7 +142,7 @@
         self.fetching.iter().any(|fetch| fetch.image == *image)
     }
 
-    fn gb_to_fetch(&self) -> f64 {
+    fn pending_fetch_gb(&self) -> f64 {
         self.fetching
             .iter()
             .map(|fetch| fetch.remaining_gb)
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -61,8 +61,8 @@
 }
 
 const LIMITS: RoundLimits = RoundLimits {
-    starts: 100,
-    jobs: 100,
+    max_starts: 100,
+    max_jobs: 100,
     allows_large_gang: true,
 };
 
