--- a/src/autoscaler/arrivals.rs
+++ b/src/autoscaler/arrivals.rs
@@ -1,4 +1,4 @@
-//! Prediction of jobs that arrive soon, from those that arrived lately.
+//! Prediction of the jobs that will arrive soon, based on recent arrivals.
 
 use super::startup::Startup;
 use crate::constants::{ARRIVAL_WINDOW, MAX_ARRIVALS};
@@ -8,16 +8,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The latest arrivals of jobs that could run at once, at most [`MAX_ARRIVALS`].
+/// The most recent arrivals of jobs that could run immediately, at most [`MAX_ARRIVALS`].
 #[derive(Debug, Default)]
 pub struct ArrivalHistory {
-    /// By the time from which the job could run, which is the same on a node that has just started,
-    /// and id.
+    /// Specifications of the jobs, keyed by the time from which the job could run and by job id.
+    /// That time does not change when a node restarts.
     arrivals: BTreeMap<(UnixTime, JobId), JobSpec>,
 }
 
 impl ArrivalHistory {
-    /// Records a job that could run from `ready_at` on; drops the earliest arrival beyond the limit.
+    /// Records a job that could run from `ready_at` on. Drops the earliest arrival if more than
+    /// [`MAX_ARRIVALS`] are recorded.
     pub fn record(&mut self, ready_at: UnixTime, id: &JobId, spec: &JobSpec) {
         self.arrivals.insert((ready_at, id.clone()), spec.clone());
         if self.arrivals.len() > MAX_ARRIVALS {
@@ -25,8 +26,9 @@
         }
     }
 
-    /// Jobs to expect while a machine boots, as copies of the latest arrivals of their class. Only
-    /// for classes with an objective that a job misses if a machine has to be rented for it first.
+    /// Returns the jobs that are expected to arrive while a machine boots, as copies of the most
+    /// recent arrivals of their class. Includes only classes with a wait objective that a job
+    /// misses if a machine has to be rented for it first.
     pub fn expected_jobs(
         &self,
         now: UnixTime,
@@ -51,7 +53,8 @@
         expected
     }
 
-    /// The time over which the rate of arrivals is taken.
+    /// Returns the time span over which the rate of arrivals is measured, at most
+    /// [`ARRIVAL_WINDOW`].
     fn rate_window(&self, now: UnixTime) -> Duration {
         let first = self.arrivals.keys().next();
         let first = first.map_or(now, |(ready_at, _)| *ready_at);
@@ -59,7 +62,7 @@
         recorded_span.clamp(Duration::from_millis(1), ARRIVAL_WINDOW)
     }
 
-    /// Arrivals within the window by class, the latest first.
+    /// Returns the arrivals within the window, grouped by class, most recent first.
     fn latest_by_class(
         &self,
         now: UnixTime,
@@ -75,9 +78,9 @@
     }
 }
 
-/// How many jobs of a class hold resources at the same time, if they arrive for the lead time of
-/// `startup` at the rate of the window. A job that ends within the lead time leaves its resources
-/// to a later one.
+/// Returns how many jobs of a class hold resources at the same time if, throughout the lead time of
+/// `startup`, jobs arrive at the rate measured over the window. A job that ends within the lead
+/// time frees its resources for a later one.
 fn expected_concurrent_jobs(specs: &[&JobSpec], startup: Startup, window: Duration) -> usize {
     let lead_time = startup.lead_time();
     let total_occupancy = specs
@@ -88,8 +91,9 @@
     usize::try_from(count).unwrap_or(usize::MAX)
 }
 
-/// A copy that needs resources only. Expected jobs do not all arrive at once, nor with these
-/// images; with an image, each would be planned on a machine of its own to fetch it.
+/// Returns a copy of the specification that needs no image. Expected jobs do not all arrive at the
+/// same time, nor with these images. If the copies had images, each would be planned on a separate
+/// machine to fetch its image.
 fn without_image(spec: &JobSpec) -> JobSpec {
     JobSpec {
         image_gb: 0.0,
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,8 +1,8 @@
-//! Autoscaling decisions: which machines to rent for waiting and expected jobs. Pure functions.
+//! Autoscaling: pure functions that decide which machines to rent for waiting and expected jobs.
 //!
-//! [`scaling_plan`] places waiting tasks on trial: first on machines that are up or expected, then
-//! on new ones of the cheapest [`MachineOffer`]. [`ArrivalHistory`] predicts jobs that arrive while
-//! a machine boots; they are planned for like waiting ones.
+//! [`scaling_plan`] simulates the placement of the waiting tasks, first on machines that are up or
+//! expected to come up, then on new machines of the cheapest [`MachineOffer`]. [`ArrivalHistory`]
+//! predicts the jobs that arrive while a machine boots. The plan treats them like waiting jobs.
 
 mod arrivals;
 mod offers;
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -1,4 +1,4 @@
-//! Machines that the cloud offers, and the choice of the cheapest.
+//! Machine offers of the cloud, and the choice of the cheapest offer for a task.
 
 use crate::constants::MAX_TASKS_PER_MACHINE;
 use crate::model::{JobSpec, MachineType, MachineTypes, Resources};
@@ -6,18 +6,19 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Machines that can be requested from the cloud.
+/// A kind of machine that can be rented from the cloud.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineOffer {
     /// Name of the machine type.
     pub machine_type: Arc<str>,
     /// Zone of the machines.
     pub zone: Arc<str>,
-    /// Whether they are spot instances.
+    /// Whether the machines are spot instances.
     pub spot: bool,
 }
 
-/// All offers but the refused ones; spot instances are included if `spot_enabled`.
+/// Returns all offers except the refused ones. Spot instances are included if `spot_enabled` is
+/// set.
 pub fn available_offers(
     types: &MachineTypes,
     refused: &BTreeSet<MachineOffer>,
@@ -46,7 +47,7 @@
     offers
 }
 
-/// The offers that a plan may rent, with their machine types.
+/// The offers that a scaling plan may rent, and the machine types.
 #[derive(Clone, Copy)]
 pub(super) struct Catalog<'a> {
     /// Machine types by name.
@@ -55,23 +56,25 @@
     pub offers: &'a [MachineOffer],
 }
 
-/// An offer that fits a task.
+/// An offer whose machines can hold a task, with the price for that task.
 struct PricedOffer<'a> {
     offer: &'a MachineOffer,
     machine_type: &'a MachineType,
-    /// Price of the part of the machine that one task takes.
+    /// Price per hour of the part of the machine that one task uses, multiplied by 1000.
     task_price: f64,
 }
 
 impl Catalog<'_> {
-    /// Price of a machine per hour; `None` if its type is not known.
+    /// Returns the price per hour of a machine, or `None` if its type is unknown.
     pub(super) fn price_of(&self, snapshot: &MachineSnapshot) -> Option<f64> {
         let machine_type = self.types.get(&snapshot.machine_type)?;
         Some(machine_type.price_of(snapshot.spot))
     }
 
-    /// A new machine of the offer on which one task of the job costs least, given the job's placed
-    /// tasks by zone; with `only_zone`, in that zone. Ties are broken by the offers' order.
+    /// Returns a new machine of the offer on which one task of the job costs least, or `None` if no
+    /// offer is eligible. `placed` is the number of the job's placed tasks in each zone. With
+    /// `only_zone`, only offers in that zone are considered. Ties are broken by
+    /// comparing the offers.
     pub(super) fn cheapest_machine(
         &self,
         spec: &JobSpec,
@@ -95,6 +98,8 @@
             .map(|cheapest| new_machine(cheapest.offer, cheapest.machine_type))
     }
 
+    /// Returns the offer with its price for a task of the job, or `None` if the task does not fit
+    /// on the offer's machines or their type is unknown.
     fn priced_offer<'a>(
         &'a self,
         offer: &'a MachineOffer,
@@ -113,7 +118,8 @@
     }
 }
 
-/// An empty machine of the offer, as placement will see it once it is up.
+/// Returns the snapshot of an empty machine of the offer, equal to the one that placement uses once
+/// the machine is up.
 fn new_machine(offer: &MachineOffer, machine_type: &MachineType) -> MachineSnapshot {
     MachineSnapshot {
         id: "".into(),
--- a/src/autoscaler/plan.rs
+++ b/src/autoscaler/plan.rs
@@ -1,4 +1,4 @@
-//! The scaling plan: machines to rent, and idle machines to keep.
+//! The scaling plan: which machines to rent, and which idle machines to keep.
 
 use super::offers::{Catalog, MachineOffer};
 use super::trial::TrialPlacement;
@@ -7,27 +7,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A job with tasks that wait for room.
+/// A job with tasks that wait for resources.
 pub struct WaitingJob<'a> {
-    /// The job.
+    /// Job to which the waiting tasks belong.
     pub job: &'a Job,
-    /// Number of its tasks that wait.
+    /// Number of the job's tasks that wait.
     pub tasks: u32,
-    /// Its placed tasks by zone.
+    /// Number of the job's placed tasks in each zone.
     pub placed_by_zone: TasksByZone,
 }
 
-/// What should be rented, and what should not be returned.
+/// Machines to rent, and machines not to return to the cloud.
 #[derive(Debug, Default)]
 pub struct ScalingPlan {
     /// Number of machines to rent of each offer.
     pub rentals: BTreeMap<MachineOffer, u64>,
-    /// Machines that are kept although they may be idle.
+    /// Machines that must not be returned even if they are idle, because waiting tasks are
+    /// planned on them.
     pub machines_to_keep: BTreeSet<MachineId>,
 }
 
-/// Plans the machines to rent, at most `max_rentals`, so that the waiting tasks find room, given
-/// the room on machines that are up or expected.
+/// Plans which machines to rent, at most `max_rentals`, so that the waiting tasks fit. `snapshots`
+/// are the machines that are up or expected to come up. Tasks are assigned to these machines first.
 pub fn scaling_plan(
     waiting: &[WaitingJob<'_>],
     mut snapshots: Vec<MachineSnapshot>,
@@ -61,8 +62,9 @@
     plan
 }
 
-/// Places a job's waiting tasks. For a job that needs one zone, each zone is tried for all of them,
-/// and the one with the cheapest new machines is taken; `None` if no zone fits.
+/// Simulates the placement of a job's waiting tasks. For a job that requires a single zone, all of
+/// the tasks are tried in each zone, and the zone with the lowest price of new machines is chosen.
+/// Returns `None` if the tasks fit in no zone.
 fn trial_placement(
     waiting: &WaitingJob<'_>,
     snapshots: &[MachineSnapshot],
@@ -83,8 +85,8 @@
         .min_by(|left, right| left.price(catalog).total_cmp(&right.price(catalog)))
 }
 
-/// Allocates a job's waiting tasks on the machines that are there, if all of them find room, and
-/// returns whether they did. For a job that needs one zone, only the zone of the best machine is tried.
+/// Allocates a job's waiting tasks on existing machines if all of them fit, and returns whether
+/// they did. For a job that requires a single zone, only the zone of the best machine is tried.
 pub fn try_allocate(waiting: &WaitingJob<'_>, snapshots: &mut Vec<MachineSnapshot>) -> bool {
     let empty_catalog = Catalog {
         types: &MachineTypes::new(),
--- a/src/autoscaler/startup.rs
+++ b/src/autoscaler/startup.rs
@@ -1,4 +1,4 @@
-//! The time from renting a machine to a task that runs on it.
+//! Startup time: the time from the request for a machine until a task runs on the machine.
 
 use crate::constants;
 use crate::model::{JobSpec, MachineType, MachineTypes};
@@ -6,17 +6,18 @@
 use crate::wire::user::JobKind;
 use std::time::Duration;
 
-/// Nominal times that pass before a job's tasks run on a machine that is yet to be rented.
+/// Nominal startup time of a job's tasks on a machine that has yet to be rented.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Startup {
-    /// From the request to a worker that takes tasks.
+    /// Time from the rental request until the machine's worker accepts tasks.
     boot: Duration,
-    /// To fetch the job's image.
+    /// Time to fetch the job's image.
     fetch: Duration,
 }
 
 impl Startup {
-    /// The shortest startup on the machine types that fit a task of the job; `None` if none does.
+    /// Returns the shortest startup among the machine types that the job may use and that fit one
+    /// of its tasks, or `None` if there is no such type.
     pub(super) fn shortest(spec: &JobSpec, types: &MachineTypes) -> Option<Startup> {
         let is_usable = |machine_type: &&MachineType| {
             let names = spec.machine_types.as_ref();
@@ -30,6 +31,7 @@
             .min_by_key(|startup| startup.total())
     }
 
+    /// Returns the startup of a job with an image of `image_gb` GB on a machine of this type.
     fn on_machine_type(machine_type: &MachineType, image_gb: f64) -> Startup {
         let gb_per_s = machine_type
             .fetch_gb_per_s
@@ -45,15 +47,15 @@
         self.boot + self.fetch
     }
 
-    /// How far ahead machines are rented: the startup and a margin of half of it, in whole
-    /// milliseconds.
+    /// Returns how long before their use machines are rented: the startup time and a margin of half
+    /// of that time, rounded down to whole milliseconds.
     pub(super) fn lead_time(self) -> Duration {
         let margin_ms = self.total().as_millis() / 2;
         self.total() + Duration::from_millis(margin_ms as u64)
     }
 
-    /// How long a job's tasks hold their resources, by its owner's estimate; those of a service
-    /// hold them for ever.
+    /// Returns how long a job's tasks hold their resources, based on the user's estimate of the
+    /// job's duration. Tasks of a service have no end, so `Duration::MAX` is returned for them.
     pub(super) fn occupancy(self, spec: &JobSpec) -> Duration {
         match spec.kind {
             JobKind::Service => Duration::MAX,
@@ -61,7 +63,8 @@
         }
     }
 
-    /// Whether a job that waits for this startup misses its class's objective for waiting.
+    /// Reports whether a job of the class that waits for this startup misses the class's wait
+    /// objective.
     pub(super) fn exceeds_wait_objective(
         self,
         class: &str,
--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -6,7 +6,8 @@
 use crate::wire::user::{JobKind, JobSubmission, tests::job as job_submission};
 use std::time::Duration;
 
-/// Two types in two zones: the big one has four times the GPUs of the small one at twice the price.
+/// Returns two machine types in two zones. The type "big" has four times the GPUs of "small" at
+/// twice the price.
 fn machine_types() -> MachineTypes {
     let machine_type = |name: &str, gpus: f64, price: f64| MachineType {
         name: name.into(),
@@ -27,7 +28,8 @@
     .collect()
 }
 
-/// What is rented for a job without any machine there; `change` changes its submission.
+/// Returns the machines that are rented for a job if no machine exists. `change` modifies the job's
+/// submission.
 fn rentals(
     kind: JobKind,
     tasks: u32,
@@ -57,7 +59,7 @@
 }
 
 #[test]
-fn the_cheapest_share_is_rented_and_filled() {
+fn rents_the_offer_with_the_lowest_price_per_task_and_fills_each_machine() {
     let rented = rentals(JobKind::Array, 9, &[], |_| {});
     assert_eq!(rented.len(), 1);
     let (offer, count) = &rented[0];
@@ -72,7 +74,7 @@
 }
 
 #[test]
-fn refused_offers_are_passed_over_and_gangs_stay_in_one_zone() {
+fn skips_refused_offers_and_honors_zone_constraints() {
     let big_east = MachineOffer {
         machine_type: "big".into(),
         zone: "east".into(),
@@ -90,7 +92,8 @@
     assert_eq!(rented.len(), 2, "a spread service needs both zones");
 }
 
-/// Jobs of the class "train" are to start within 20 s: sooner than a machine boots.
+/// Returns an objective by which jobs of the class "train" start within 20 s, which is less than
+/// the boot time of a machine.
 fn start_objective() -> ServiceLevelObjective {
     ServiceLevelObjective {
         kind: ObjectiveKind::Wait,
@@ -99,7 +102,7 @@
     }
 }
 
-/// Arrivals at regular intervals; times are unix times, ms.
+/// Arrivals at regular intervals. Times are Unix times in milliseconds.
 struct RegularArrivals {
     count: u64,
     first_ms: u64,
@@ -126,9 +129,11 @@
         .len()
 }
 
-/// A node that has just started learns of all open jobs at once; they count by their own times.
+/// A node that has just started reads all open jobs at once. Counting them as arrivals at the time
+/// of the restart would overstate the rate, so each job counts at the time at which it became
+/// ready.
 #[test]
-fn jobs_from_before_a_restart_are_no_arrivals() {
+fn jobs_ready_before_the_rate_window_are_not_counted_as_arrivals() {
     let spec = JobSpec::from(&job_submission("run-1", JobKind::Service, 1));
     let mut history = ArrivalHistory::default();
     record_arrivals(
@@ -152,13 +157,15 @@
             interval_ms: 10_000,
         },
     );
-    // One in 10 s, and 45 s (with a margin of a half) from renting to running: 7.
+    // One job arrives every 10 s, and the lead time is 67.5 s: 30 s for the boot and 15 s for the
+    // image, 45 s in all, and a margin of half of that. So 7 jobs are expected.
     assert_eq!(expected_job_count(&history, 1_400_000), 7);
 }
 
-/// One job in 2 s; 30 s for a boot and 15 s for the image, with a margin of a half 67.5 s for both.
+/// One job arrives every 2 s. The lead time is 67.5 s: 30 s for the boot, 15 s for the image, and a
+/// margin of half of both. Jobs that end within it free their resources for later jobs.
 #[test]
-fn short_jobs_leave_their_room_to_the_next_ones() {
+fn short_jobs_free_their_resources_for_later_expected_jobs() {
     let expected = |kind, expected_duration_s| {
         let mut submission = job_submission("run-1", kind, 1);
         submission.expected_duration_s = expected_duration_s;
@@ -176,15 +183,19 @@
         );
         expected_job_count(&history, 1_180_000)
     };
-    assert_eq!(expected(JobKind::Array, 9.0), 12, "as many as run at once");
+    assert_eq!(
+        expected(JobKind::Array, 9.0),
+        12,
+        "jobs that run at the same time"
+    );
     assert_eq!(
         expected(JobKind::Array, 900.0),
         34,
-        "all that arrive meanwhile"
+        "all jobs that arrive within the lead time"
     );
     assert_eq!(
         expected(JobKind::Service, 0.0),
         34,
-        "services end when told to"
+        "services run until they are stopped"
     );
 }
--- a/src/autoscaler/trial.rs
+++ b/src/autoscaler/trial.rs
@@ -1,25 +1,27 @@
-//! Trial placement of one waiting job, on machines that are there and on new ones.
+//! Trial placement of one waiting job on existing machines and on new ones.
 
 use super::offers::Catalog;
 use super::plan::WaitingJob;
 use crate::placement::{self, Assignment, MachineSnapshot};
 use std::sync::Arc;
 
-/// A machine to rent, and the tasks that it would take.
+/// A machine to rent, and the number of the job's tasks that it would take.
 struct NewMachine {
     snapshot: MachineSnapshot,
     tasks: u32,
 }
 
-/// Where a job's waiting tasks would go.
+/// Simulated placement of a job's waiting tasks.
 pub(super) struct TrialPlacement {
-    /// Tasks on machines that are there.
+    /// Tasks on existing machines.
     assignments: Vec<Assignment>,
     new_machines: Vec<NewMachine>,
 }
 
 impl TrialPlacement {
-    /// Places as many of the tasks as find room; with `only_zone`, in that zone alone.
+    /// Simulates the placement of as many of the waiting tasks as fit, on existing machines first
+    /// and then on new machines of the catalog. With `only_zone`, only machines in that zone are
+    /// used.
     pub(super) fn new(
         waiting: &WaitingJob<'_>,
         snapshots: &[MachineSnapshot],
@@ -50,14 +52,14 @@
         }
     }
 
-    /// Whether all waiting tasks of the job found room.
+    /// Reports whether the placement covers all waiting tasks of the job.
     pub(super) fn is_complete(&self, waiting: &WaitingJob<'_>) -> bool {
         let tasks_on_new_machines: u32 =
             self.new_machines.iter().map(|machine| machine.tasks).sum();
         placement::assigned_tasks(&self.assignments) + tasks_on_new_machines == waiting.tasks
     }
 
-    /// Price of the new machines per hour.
+    /// Returns the total price per hour of the new machines.
     pub(super) fn price(&self, catalog: Catalog<'_>) -> f64 {
         self.new_machines
             .iter()
@@ -65,14 +67,14 @@
             .sum()
     }
 
-    /// Indices of the machines that are there and take tasks.
+    /// Returns the indices of the existing machines that take tasks.
     pub(super) fn used_machine_indices(&self) -> impl Iterator<Item = usize> + '_ {
         self.assignments
             .iter()
             .map(|assignment| assignment.machine_index)
     }
 
-    /// Allocates the resources, and appends the new machines to `snapshots`.
+    /// Allocates the resources of the job's tasks, and appends the new machines to `snapshots`.
     pub(super) fn allocate(self, waiting: &WaitingJob<'_>, snapshots: &mut Vec<MachineSnapshot>) {
         let spec = &waiting.job.spec;
         for assignment in self.assignments {
--- a/src/engine/scheduling.rs
+++ b/src/engine/scheduling.rs
@@ -1,4 +1,5 @@
-//! Scheduling passes: plan a round on the model as it stands, and have it written.
+//! Scheduling passes. A pass plans a round of task starts from the current model and hands the
+//! round over to be written to the state service.
 
 use super::Engine;
 use crate::constants;
@@ -8,7 +9,9 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Plans a round if something has changed that may allow a placement.
+    /// Runs a scheduling pass if one is due because something has changed that may allow a
+    /// placement. Does not run it without a valid lease, or while a round that takes a single
+    /// transaction is being written.
     pub(super) fn schedule_when_due(&mut self) {
         self.repeat_round_writes();
         let now = self.context.now();
@@ -28,7 +31,9 @@
         self.set_demand(plan.unplaced);
     }
 
-    /// Whether a round is to be planned as soon as may be.
+    /// Reports whether a round will be planned as soon as possible, which is the case if a
+    /// scheduling pass has been requested, the last pass left tasks unplaced, and this node holds a
+    /// valid lease.
     pub(super) fn is_scheduling_imminent(&self) -> bool {
         let leader = self.leadership.leader();
         self.holds_valid_lease()
@@ -37,7 +42,8 @@
             })
     }
 
-    /// Plans on the model as it stands.
+    /// Plans a round from the current model. Returns an empty plan if this node does not lead or no
+    /// job can start tasks.
     fn plan_round(&self) -> RoundPlan {
         let Some(leader) = self.leadership.leader() else {
             return RoundPlan::default();
@@ -52,10 +58,11 @@
         placement::plan_round(&candidates, &mut snapshots, &mut self.quota_usage(), limits)
     }
 
-    /// What a round may hold so that one transaction writes it.
+    /// Returns the limits within which a round can be written by one transaction.
     fn round_limits(&self) -> RoundLimits {
         let records = self.records_per_transaction();
-        // Besides its jobs, a round's conditions name the leader's key and its own records.
+        // The conditions of a round's transaction cover the leader's key and the round's own
+        // records in addition to one key for each job.
         let conditions =
             constants::CONDITIONS_PER_MUTATION * self.context.settings().cluster.state.txn_ops;
         let leader = self.leadership.leader();
@@ -66,20 +73,21 @@
         }
     }
 
-    /// Starts that one record of a round holds.
+    /// Returns the maximum number of task starts in one record of a round.
     pub(super) fn starts_per_record(&self) -> usize {
         let by_size =
             self.context.settings().max_value_bytes() / constants::TASK_START_RECORD_BYTES;
         by_size.min(constants::MAX_STARTS_PER_TRANSACTION)
     }
 
-    /// Records of a round that one transaction writes.
+    /// Returns the maximum number of records of a round that one transaction writes.
     pub(super) fn records_per_transaction(&self) -> usize {
         let by_size = constants::MAX_STARTS_PER_TRANSACTION / self.starts_per_record();
         by_size.clamp(1, self.context.settings().cluster.state.txn_ops)
     }
 
-    /// What teams use, counting every task that may be on a machine.
+    /// Returns the resources that each team uses and its limit. Every task that may be on a machine
+    /// counts as using resources.
     fn quota_usage(&self) -> QuotaUsage {
         let mut usage = QuotaUsage::default();
         for team in &self.context.settings().cluster.teams {
@@ -92,7 +100,7 @@
         usage
     }
 
-    /// Jobs that may start tasks now, in the order in which they are served.
+    /// Returns the jobs that can start tasks now, in the order in which they are served.
     pub(super) fn candidates(&self) -> Vec<Candidate<'_>> {
         let within_guarantee = self.jobs_within_guarantee();
         let jobs_with_orphans: BTreeSet<&JobId> = self
@@ -105,7 +113,7 @@
         let mut candidates: Vec<Candidate<'_>> = self
             .jobs
             .iter()
-            // No task of a job starts while a machine still has one that is unaccounted for.
+            // A job starts no task while a machine still has an orphaned task of that job.
             .filter(|(id, job)| self.can_start_tasks(job) && !jobs_with_orphans.contains(id))
             .filter_map(|(id, job)| {
                 Some(Candidate {
@@ -121,16 +129,17 @@
         candidates
     }
 
-    /// Whether tasks of the job wait and may be started now.
+    /// Reports whether the job has pending tasks that may be started now.
     fn can_start_tasks(&self, job: &Job) -> bool {
         job.is_open()
             && !job.pending.is_empty()
             && job.backoff_until <= self.context.now()
-            // A gang restarts only when its last attempt is surely gone.
+            // A gang restarts only after every task of its previous attempt has left its machine.
             && (!job.is_gang() || job.placements.is_empty())
     }
 
-    /// The job's placed tasks by zone; `None` while a machine's zone is not known yet.
+    /// Returns the number of the job's placed tasks in each zone, or `None` if a task's machine is
+    /// unknown, or if its zone is not known yet and the job has a rule about zones.
     fn placed_tasks_by_zone(&self, job: &Job) -> Option<BTreeMap<Arc<str>, u32>> {
         let leader = self.leadership.leader()?;
         let mut tasks_by_zone = BTreeMap::new();
@@ -144,7 +153,8 @@
         Some(tasks_by_zone)
     }
 
-    /// Jobs that fit into their team's guarantee together with the team's earlier ones.
+    /// Returns the open jobs whose requests, added to those of their team's earlier open jobs, fit
+    /// in the team's guarantee.
     pub(super) fn jobs_within_guarantee(&self) -> BTreeSet<JobId> {
         let mut open_jobs: Vec<_> = self.jobs.iter().filter(|(_, job)| job.is_open()).collect();
         open_jobs.sort_by_key(|(id, job)| (job.submitted_at, *id));
--- a/src/placement/candidate.rs
+++ b/src/placement/candidate.rs
@@ -1,4 +1,4 @@
-//! Jobs that may start tasks, and the order in which they are served.
+//! Candidates, which are jobs that may start tasks, and the order in which they are served.
 
 use super::constraints::TasksByZone;
 use crate::model::{Job, JobId, Resources, UnixTime};
@@ -8,20 +8,22 @@
 /// A job that may start tasks.
 #[derive(Debug)]
 pub struct Candidate<'a> {
-    /// The job's id.
+    /// Id of the job.
     pub id: &'a JobId,
-    /// The job.
+    /// The job with its specification and the state of its tasks.
     pub job: &'a Job,
-    /// Whether it fits into its team's guarantee together with the team's earlier open jobs.
+    /// Whether the job's request, added to those of its team's earlier open jobs, fits in the
+    /// team's guarantee.
     pub within_guarantee: bool,
-    /// Whether it has waited so long that it is served first; for a gang, machines are reserved.
+    /// Whether the job has waited so long that it is served before all jobs that are not starving.
+    /// Machines are reserved for a starving gang that does not fit.
     pub starving: bool,
-    /// Its placed tasks by zone.
+    /// Number of the job's placed tasks in each zone.
     pub placed_by_zone: TasksByZone,
 }
 
 impl Candidate<'_> {
-    /// Whether machines are reserved for it while it finds no room.
+    /// Reports whether machines are reserved for the job if its tasks do not fit.
     pub(super) fn can_reserve_machines(&self) -> bool {
         self.starving && self.job.spec.kind == JobKind::Gang
     }
@@ -41,22 +43,23 @@
     }
 }
 
-/// Rank of a job in the order of service; the highest is served first. The order of variants and
-/// fields is the order of comparison.
+/// Rank of a job in the order of service. The job with the highest rank is served first. Variants
+/// and fields are compared in the order of their declaration.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ServiceRank {
-    /// By priority, then guarantee, then deadline.
+    /// Ranked by priority, then by whether the job is within its team's guarantee, then by
+    /// deadline.
     Regular {
         priority: Priority,
         within_guarantee: bool,
         deadline: Reverse<UnixTime>,
     },
-    /// Before all others, in the order in which they could have begun: by priority, a lasting
-    /// backlog of urgent work would keep the rest waiting for ever.
+    /// Ranked above all regular jobs, by the time at which the job became ready. Ranking these jobs
+    /// by priority would let a lasting backlog of urgent jobs delay the others without bound.
     Starving { ready_at: Reverse<UnixTime> },
 }
 
-/// Sorts jobs into the order in which they are served; ties are broken by id.
+/// Sorts jobs into the order in which they are served. Ties are broken by id.
 pub fn sort_by_service_order(candidates: &mut [Candidate<'_>]) {
     candidates.sort_by(|left, right| {
         right
@@ -66,8 +69,9 @@
     });
 }
 
-/// The least available resources of a machine that can matter to a round. A machine with less fits
-/// no candidate's task; but if machines are reserved for a gang, full ones count as well.
+/// Returns the minimum of available resources that a machine needs to affect a round. No
+/// candidate's task fits on a machine with less. If machines may be reserved for a gang, the
+/// minimum is zero, because full machines can be reserved as well.
 pub fn min_available(candidates: &[Candidate<'_>]) -> Resources {
     if candidates.iter().any(Candidate::can_reserve_machines) {
         return Resources::default();
@@ -75,7 +79,8 @@
     min_request(candidates).unwrap_or_default()
 }
 
-/// The smallest request of the candidates in each resource; `None` without candidates.
+/// Returns the smallest request of the candidates' tasks in each resource, or `None` if there are
+/// no candidates.
 pub(super) fn min_request(candidates: &[Candidate<'_>]) -> Option<Resources> {
     candidates
         .iter()
--- a/src/placement/candidate/tests.rs
+++ b/src/placement/candidate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::placement::tests::{candidate, job};
 
-/// The ids of the jobs in the order of service.
+/// Returns the ids of the jobs in the order of service.
 fn service_order(mut candidates: Vec<Candidate<'_>>) -> Vec<&str> {
     sort_by_service_order(&mut candidates);
     candidates
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn full_machines_matter_only_if_machines_are_reserved() {
+fn min_available_is_zero_only_if_machines_may_be_reserved() {
     let id = JobId::from("run-1");
     let gang = job(JobKind::Gang, 2, |_| {});
     let waiting = candidate(&id, &gang);
--- a/src/placement/consolidation.rs
+++ b/src/placement/consolidation.rs
@@ -1,31 +1,32 @@
-//! Consolidation: which machine to drain because other machines can take the replicas on it.
+//! Consolidation: chooses a machine to drain because other machines can take the replicas on it.
 //!
-//! Services outlast the work that ran beside them and leave machines half empty. A replica that
-//! moves is down until it has started again, so it moves only to a machine that has its image.
+//! Services run longer than the batch tasks placed beside them, so machines end up half empty. A
+//! replica that moves is down until it has started again, so it moves only to a machine that has
+//! its image in its cache.
 
 use super::MachineSnapshot;
 use crate::constants::MAX_DRAINED_USE_PERMILLE;
 use crate::model::{JobSpec, MachineId, Resources};
 use std::collections::BTreeMap;
 
-/// A machine that holds nothing but replicas that may be stopped.
+/// A machine whose only tasks are service replicas that may be stopped.
 #[derive(Debug)]
 pub struct Drainable<'a> {
-    /// The machine.
+    /// Id of the machine.
     pub machine: MachineId,
-    /// The job of each replica on it.
+    /// Specification of the job of each replica on the machine.
     pub replicas: Vec<&'a JobSpec>,
 }
 
-/// A machine that is little enough used to be drained.
+/// A machine whose use is low enough for it to be drained.
 struct Source<'a> {
     used_permille: u64,
     drainable: &'a Drainable<'a>,
     snapshot: &'a MachineSnapshot,
 }
 
-/// Chooses the least used candidate whose replicas all find room on other machines of its zone;
-/// ties are broken by id.
+/// Chooses the least used candidate whose replicas all fit on other machines of its zone. Returns
+/// `None` if there is no such candidate. Ties are broken by id.
 pub fn choose_machine_to_drain(
     candidates: &[Drainable<'_>],
     snapshots: &[MachineSnapshot],
@@ -38,7 +39,7 @@
         .map(|source| source.drainable.machine.clone())
 }
 
-/// The candidates that may be drained, the least used first.
+/// Returns the candidates used by at most [`MAX_DRAINED_USE_PERMILLE`], least used first.
 fn drain_sources<'a>(
     candidates: &'a [Drainable<'_>],
     snapshots: &'a [MachineSnapshot],
@@ -63,7 +64,8 @@
     sources
 }
 
-/// Machines that hold services and have room for some replica: few in a busy cluster.
+/// Returns the machines that hold services and have room for the smallest request of the replicas.
+/// In a busy cluster, these are few.
 fn replica_targets<'a>(
     sources: &[Source<'_>],
     snapshots: &'a [MachineSnapshot],
@@ -80,15 +82,16 @@
         .collect()
 }
 
-/// Whether each replica has room on a target that is at least as full and has its image. Targets
-/// are of the same zone, so that the distribution over zones stays as it is.
+/// Reports whether every replica on `source` fits on a target that is at least as full as `source`
+/// and has the replica's image. Targets must be in the zone of `source`, so that the distribution
+/// of each service over zones does not change.
 fn can_move_all_replicas(source: &Source<'_>, targets: &[&MachineSnapshot]) -> bool {
     let is_allowed_target = |target: &MachineSnapshot| {
         target.id != source.snapshot.id
             && target.zone == source.snapshot.zone
             && target.used_permille() >= source.used_permille
     };
-    // Copies of the targets that were given replicas, by index.
+    // Copies, by index, of the targets to which replicas have been assigned.
     let mut filled_targets: BTreeMap<usize, MachineSnapshot> = BTreeMap::new();
     source.drainable.replicas.iter().all(|spec| {
         let target_index = (0..targets.len()).find(|index| {
@@ -106,6 +109,7 @@
     })
 }
 
+/// Reports whether the replica could run on the machine without fetching its image.
 fn has_room_and_image(snapshot: &MachineSnapshot, replica: &JobSpec) -> bool {
     replica.request.fits_in(snapshot.available)
         && snapshot.is_eligible_for(replica)
--- a/src/placement/consolidation/tests.rs
+++ b/src/placement/consolidation/tests.rs
@@ -4,11 +4,12 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
+/// Returns the specification of a service with four replicas.
 fn replica() -> JobSpec {
     JobSpec::from(&job_submission("run-1", JobKind::Service, 4))
 }
 
-/// A machine with `count` replicas and their image.
+/// Returns a machine with `count` replicas and their image in its cache.
 fn machine_with(id: &str, zone: &str, count: u32) -> MachineSnapshot {
     let mut snapshot = snapshot(id, zone, 8.0);
     let spec = replica();
@@ -17,7 +18,8 @@
     snapshot
 }
 
-/// The machine to drain, with the number of replicas on each candidate.
+/// Returns the machine that is chosen to be drained. `counts` is the number of replicas on each
+/// candidate.
 fn machine_to_drain(snapshots: &[MachineSnapshot], counts: &[(&str, usize)]) -> Option<MachineId> {
     let spec = replica();
     let candidates: Vec<Drainable<'_>> = counts
@@ -31,21 +33,22 @@
 }
 
 #[test]
-fn the_emptiest_machine_is_drained_to_a_fuller_one() {
+fn least_used_machine_is_drained_if_a_fuller_one_has_room() {
     let snapshots = [machine_with("a", "east", 4), machine_with("b", "east", 3)];
     let both = [("a", 4), ("b", 3)];
     assert_eq!(machine_to_drain(&snapshots, &both), Some("b".into()));
     assert_eq!(
         machine_to_drain(&snapshots, &both[..1]),
         None,
-        "never to an emptier one"
+        "replicas do not move to a machine that is less used"
     );
 }
 
-/// A replica that had to fetch its image would be down for a minute, one in another zone would
-/// change the distribution over zones, and one without room would wait for a machine to boot.
+/// A replica that has to fetch its image is down for a minute. A move to another zone changes the
+/// service's distribution over zones. A replica that does not fit elsewhere waits for a machine to
+/// boot.
 #[test]
-fn replicas_stay_where_moving_them_would_cost_more() {
+fn machine_is_not_drained_without_target_that_has_image_zone_room_and_services() {
     let mut no_image = [machine_with("a", "east", 5), machine_with("b", "east", 3)];
     no_image[0].images.clear();
     assert_eq!(machine_to_drain(&no_image, &[("b", 3)]), None);
@@ -58,7 +61,8 @@
     assert_eq!(machine_to_drain(&no_services, &[("b", 3)]), None);
 }
 
-/// The same choice made without an index: goes over all machines, and copies them, for each candidate.
+/// Makes the same choice by exhaustive search: goes over all machines, and copies them, for each
+/// candidate.
 fn choose_exhaustively(
     candidates: &[Drainable<'_>],
     snapshots: &[MachineSnapshot],
@@ -105,7 +109,7 @@
     })
 }
 
-/// Machines with the given numbers of replicas, some of them without the image.
+/// Returns machines with the given numbers of replicas. Some of the machines do not have the image.
 fn random_machines(random: &mut SmallRng, replicas: &[u32]) -> Vec<MachineSnapshot> {
     let mut snapshots: Vec<MachineSnapshot> = (0..)
         .zip(replicas)
@@ -123,7 +127,7 @@
 }
 
 #[test]
-fn the_choice_is_that_of_an_exhaustive_search() {
+fn choice_equals_that_of_an_exhaustive_search() {
     let seed = 5;
     let mut random = SmallRng::seed_from_u64(seed);
     let spec = replica();
--- a/src/placement/constraints.rs
+++ b/src/placement/constraints.rs
@@ -1,5 +1,5 @@
-//! Which machines a job's constraints allow: machine type, zone, spot instances, and how its tasks
-//! are distributed over zones.
+//! Constraints of a job on the machines for its tasks: machine types, zone, spot instances, and the
+//! distribution of the tasks over zones.
 
 use crate::model::JobSpec;
 use std::collections::BTreeMap;
@@ -8,12 +8,12 @@
 /// Number of a job's placed tasks in each zone.
 pub type TasksByZone = BTreeMap<Arc<str>, u32>;
 
-/// Counts `count` more tasks in a zone.
+/// Adds `count` tasks to the number in a zone.
 pub(crate) fn add_tasks(tasks_by_zone: &mut TasksByZone, zone: &Arc<str>, count: u32) {
     *tasks_by_zone.entry(zone.clone()).or_insert(0) += count;
 }
 
-/// Whether a job may use machines of this type, zone and purchase option at all.
+/// Reports whether a job's constraints allow machines of this type, zone and purchase option.
 pub(crate) fn is_eligible(
     spec: &JobSpec,
     machine_type: &Arc<str>,
@@ -28,7 +28,8 @@
         && spec.zone.as_ref().is_none_or(|required| required == zone)
 }
 
-/// How many more tasks of a job may be in `zone`, given its placed tasks by zone.
+/// Returns how many more tasks of a job may be placed in `zone`, given the number of its placed
+/// tasks in each zone.
 pub(crate) fn zone_headroom(spec: &JobSpec, placed: &TasksByZone, zone: &Arc<str>) -> u32 {
     let in_zone = placed.get(zone).copied().unwrap_or(0);
     let in_other_zones = placed
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -1,4 +1,4 @@
-//! Placement of gangs: all tasks of a job or none.
+//! Placement of gangs: either all tasks of a gang are placed, or none.
 
 use super::constraints::TasksByZone;
 use super::packing::{Assignment, assign_tasks, assigned_tasks};
@@ -7,13 +7,14 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Zones that have machines, in the order of their names.
+/// Returns the zones that have machines, ordered by name.
 pub(super) fn zones(snapshots: &[MachineSnapshot]) -> BTreeSet<&Arc<str>> {
     snapshots.iter().map(|snapshot| &snapshot.zone).collect()
 }
 
-/// Assigns all tasks of a gang, in one zone if it asks for that; `None` if they do not fit. Of
-/// several zones, the one whose machines are fullest is taken.
+/// Assigns all tasks of a gang to machines, within one zone if the job requires a single zone. If
+/// the gang fits in several zones, the zone where the assigned machines are fullest is chosen.
+/// Returns `None` if the tasks do not fit.
 pub(super) fn assign_gang(
     spec: &JobSpec,
     snapshots: &[MachineSnapshot],
@@ -27,6 +28,8 @@
         .min_by_key(|assignments| total_idle_permille(assignments, snapshots))
 }
 
+/// Assigns all tasks of a gang, or returns `None` if they do not fit. With `only_zone`, only
+/// machines in that zone are used.
 fn assign_whole_gang(
     spec: &JobSpec,
     snapshots: &[MachineSnapshot],
@@ -37,7 +40,8 @@
     (assigned_tasks(&assignments) == spec.tasks).then_some(assignments)
 }
 
-/// How idle the assigned machines are, in thousandths of a machine, counted once for each task.
+/// Returns the sum of the idle parts of the assigned machines, in thousandths of a machine. A
+/// machine counts once for each task assigned to it.
 fn total_idle_permille(assignments: &[Assignment], snapshots: &[MachineSnapshot]) -> u64 {
     let idle_permille = |assignment: &Assignment| {
         snapshots[assignment.machine_index].idle_permille() * u64::from(assignment.tasks)
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,12 +1,13 @@
-//! Decisions about tasks and machines: pure functions over [`MachineSnapshot`]s.
+//! Placement: pure functions over [`MachineSnapshot`]s that decide which tasks start, stop or move
+//! on which machines.
 //!
 //! [`plan_round`] decides which waiting tasks start on which machines. Jobs are served in the order
-//! of [`sort_by_service_order`]; each task goes to the eligible machine that it leaves fullest (best
-//! fit), within the rules on machine types, zones and spot instances and its team's quota.
-//! [`preemption`] chooses running tasks to stop for a job that finds no room, and [`consolidation`]
-//! a machine to drain.
+//! of [`sort_by_service_order`]. Each task goes to the eligible machine that is fullest once the
+//! task is placed on it (best fit), within the job's constraints on machine types, zones and spot
+//! instances and within its team's quota. [`preemption`] chooses running tasks to stop for a job
+//! that does not fit on any machine, and [`consolidation`] chooses a machine to drain.
 //!
-//! Nothing here reads a clock or does I/O, and the same input always gives the same result: ties
+//! This module reads no clock and does no I/O. The same input always gives the same result: ties
 //! are broken by the order in which machines and jobs are passed in.
 
 pub mod consolidation;
@@ -32,7 +33,7 @@
 pub(crate) use constraints::{add_tasks, is_eligible, zone_headroom};
 pub(crate) use packing::{Assignment, assign_tasks, assigned_tasks};
 
-/// All of a machine, in thousandths.
+/// A whole machine, in thousandths.
 const PERMILLE: u64 = 1000;
 
 #[cfg(test)]
--- a/src/placement/packing.rs
+++ b/src/placement/packing.rs
@@ -1,4 +1,4 @@
-//! Bin packing: which machines take the tasks of one job.
+//! Bin packing: assigns the tasks of one job to machines.
 
 use super::constraints::{TasksByZone, add_tasks};
 use super::snapshot::{ImageReadiness, MachineSnapshot};
@@ -8,33 +8,35 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-/// Tasks of one job that go to one machine.
+/// A number of tasks of one job that are assigned to one machine.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Assignment {
-    /// Index of the machine in the snapshots that were passed in.
+    /// Index of the machine in the snapshots that the caller passed in.
     pub machine_index: usize,
-    /// Number of tasks.
+    /// Number of tasks assigned to the machine.
     pub tasks: u32,
 }
 
-/// Number of tasks in all assignments.
+/// Returns the total number of tasks in the assignments.
 pub(crate) fn assigned_tasks(assignments: &[Assignment]) -> u32 {
     assignments.iter().map(|assignment| assignment.tasks).sum()
 }
 
-/// Rank of a machine for a job's tasks; the lowest is best. The order of fields is the order of
-/// comparison.
+/// Rank of a machine for a job's tasks. The lowest rank is best. Fields are compared in the order
+/// of their declaration.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct MachineRank {
-    /// On-demand machines are left to jobs that may use no others.
+    /// Whether the job could use a spot instance but the machine is on-demand. On-demand machines
+    /// are left to jobs that may not use spot instances.
     avoidable_on_demand: bool,
-    /// Before fullness, since a fetch takes longer than many objectives allow and fetches on one
-    /// machine share its rate.
+    /// Availability of the job's image. Compared before fullness, because a fetch takes longer than
+    /// many objectives allow, and concurrent fetches on one machine share its fetch rate.
     image_readiness: ImageReadiness,
-    /// Services are kept apart from work that ends, or they hold many machines half empty once that
-    /// work has ended.
+    /// Whether the task would put services and batch tasks on one machine. They are kept apart,
+    /// because otherwise services keep many machines half empty after the batch tasks have ended.
     mixes_services: bool,
-    /// Use of the machine with one more task, in thousandths; the fullest is best.
+    /// Use of the machine with one more task of the job, in thousandths. The fullest machine is
+    /// best.
     used_permille: Reverse<u64>,
 }
 
@@ -50,12 +52,14 @@
     }
 }
 
-/// Assigns up to `tasks` tasks of a job, given its placed tasks by zone, to the machines of lowest
-/// [`MachineRank`]. With `only_zone`, to machines of that zone alone. Ties are broken by position.
+/// Assigns up to `tasks` tasks of a job to the machines of lowest [`MachineRank`], given the number
+/// of the job's placed tasks in each zone. With `only_zone`, only machines in that zone are used.
+/// Ties are broken by position.
 ///
-/// The tasks are alike, and a machine that is best for one is best for the next while it has room:
-/// it is fuller, and the image is on its way. So each machine is ranked once a job, not once a
-/// task, which is too slow with more than a thousand machines.
+/// All tasks of a job have the same request and image. A machine that is best for one task
+/// therefore stays best for the next while it has room: it has become fuller, and its fetch of the
+/// image has been planned. So each machine is ranked once for each job. Ranking it once for each
+/// task is too slow with more than a thousand machines.
 pub(crate) fn assign_tasks(
     spec: &JobSpec,
     placed_by_zone: &TasksByZone,
@@ -92,7 +96,8 @@
     assignments
 }
 
-/// Whether a task may go to a machine, apart from the distribution over zones.
+/// Reports whether a machine can take a task of the job, without regard to the distribution of the
+/// job's tasks over zones.
 fn can_take_task(snapshot: &MachineSnapshot, spec: &JobSpec, only_zone: Option<&Arc<str>>) -> bool {
     spec.request.fits_in(snapshot.available)
         && only_zone.is_none_or(|zone| snapshot.zone == *zone)
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -1,4 +1,4 @@
-//! The pass that plans a round.
+//! The planner of a round of task starts.
 
 use super::candidate::{Candidate, min_request};
 use super::gang::assign_gang;
@@ -11,8 +11,9 @@
 use crate::model::{JobId, JobSpec};
 use crate::wire::user::JobKind;
 
-/// Plans a round within `limits` for candidates in the order of service. `snapshots` (their order,
-/// too) and `quotas` change to what is left after the round.
+/// Plans a round within `limits` for candidates, which must be sorted in the order of service.
+/// Afterwards, `snapshots` and `quotas` reflect the planned starts, and the snapshots are
+/// reordered.
 pub fn plan_round(
     candidates: &[Candidate<'_>],
     snapshots: &mut Vec<MachineSnapshot>,
@@ -34,8 +35,8 @@
     planner.plan
 }
 
-/// Moves the machines that have room for the smallest request to the front, and returns their
-/// number. The others, most machines of a busy cluster, need not be looked at for each job.
+/// Moves the machines that have room for the smallest request to the front and returns their
+/// number. The planner then skips the other machines, most of a busy cluster, for each job.
 fn move_machines_with_room_first(
     snapshots: &mut Vec<MachineSnapshot>,
     candidates: &[Candidate<'_>],
@@ -53,33 +54,34 @@
     count
 }
 
-/// What a gang came to in a round.
+/// Result of planning the tasks of a gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum GangOutcome {
-    /// All of its tasks start.
+    /// All tasks of the gang start.
     Placed,
-    /// Its team's limit does not allow it.
+    /// The limit of the gang's team does not allow the gang.
     OverQuota,
-    /// The round may not hold as many starts.
+    /// The starts of the gang exceed what the round can still hold.
     RoundFull,
-    /// The machines do not have room for all of its tasks.
+    /// The machines do not have room for all tasks of the gang.
     NoRoom,
 }
 
-/// A round while it is planned.
+/// State of a round while it is being planned.
 struct RoundPlanner<'a> {
-    /// All machines; first those with room when the pass began.
+    /// All machines. Those that had room when the pass began come first.
     snapshots: &'a mut [MachineSnapshot],
-    /// Number of machines with room when the pass began.
+    /// Number of machines that had room when the pass began.
     machines_with_room: usize,
     quotas: &'a mut QuotaUsage,
     limits: RoundLimits,
-    /// Jobs with starts in `plan.starts`.
+    /// Number of jobs that have starts in `plan.starts`.
     jobs_with_starts: usize,
     plan: RoundPlan,
 }
 
 impl RoundPlanner<'_> {
+    /// Plans the tasks of a job, and reserves machines for a starving gang that does not fit.
     fn plan_candidate(&mut self, candidate: &Candidate<'_>) {
         let starts_before = self.plan.starts.len();
         if candidate.job.spec.kind == JobKind::Gang {
@@ -93,8 +95,8 @@
         self.jobs_with_starts += usize::from(self.plan.starts.len() > starts_before);
     }
 
-    /// Starts that the round may still hold. A full round does not end the pass: the tasks that
-    /// wait for room have to be known for scaling out.
+    /// Returns how many more starts the round may hold. A full round does not end the pass, because
+    /// scaling out requires the number of tasks for which machines have no room.
     fn remaining_starts(&self) -> usize {
         if self.jobs_with_starts < self.limits.max_jobs {
             self.limits
@@ -105,24 +107,25 @@
         }
     }
 
-    /// Starts as many tasks of a job as its team's limit, the round and the machines allow.
+    /// Plans the start of as many tasks of a job as its team's limit, the round and the machines
+    /// allow.
     fn plan_tasks(&mut self, candidate: &Candidate<'_>) {
         let spec = &candidate.job.spec;
         let remaining = self.remaining_starts().min(u32::MAX as usize) as u32;
-        // By how much a huge array exceeds all machines need not be known.
+        // Unplaced tasks are counted up to a maximum, so a very large array is not counted in full.
         let max_counted = remaining.saturating_add(MAX_UNPLACED_TASKS);
         let pending = candidate.job.pending.len() as u32;
-        let allowed = self
-            .quotas
-            .reserve(&spec.team, spec.request, pending.min(max_counted));
+        let tasks_within_quota =
+            self.quotas
+                .reserve(&spec.team, spec.request, pending.min(max_counted));
         let assignments = assign_tasks(
             spec,
             &candidate.placed_by_zone,
             &self.snapshots[..self.machines_with_room],
-            allowed.min(remaining),
+            tasks_within_quota.min(remaining),
             None,
         );
-        let unplaced = allowed - assigned_tasks(&assignments);
+        let unplaced = tasks_within_quota - assigned_tasks(&assignments);
         let indices = candidate.job.pending.iter();
         let starts = self.allocate(candidate.id, spec, indices, &assignments);
         self.plan.starts.extend(starts);
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Starts all tasks of a gang or none.
+    /// Plans the start of all tasks of a gang, or of none.
     fn plan_gang(&mut self, candidate: &Candidate<'_>) -> GangOutcome {
         let spec = &candidate.job.spec;
         let total_request = spec.total_request();
@@ -169,12 +172,13 @@
         GangOutcome::Placed
     }
 
-    /// Whether one transaction cannot write the gang's starts.
+    /// Reports whether the gang has more starts than one transaction can write.
     fn is_large_gang(&self, spec: &JobSpec) -> bool {
         spec.tasks as usize > self.limits.max_starts
     }
 
-    /// Starts that the round of a gang may still hold; a large gang has a round of its own.
+    /// Returns how many more starts the round of this gang may hold. A large gang is placed in a
+    /// separate round.
     fn remaining_starts_for_gang(&self, spec: &JobSpec) -> usize {
         if !self.is_large_gang(spec) {
             self.remaining_starts()
@@ -185,7 +189,8 @@
         }
     }
 
-    /// Allocates the assigned machines and returns the starts of the job's next tasks on them.
+    /// Allocates the resources of the assignments and returns the starts of the job's tasks on the
+    /// assigned machines. Task numbers are taken from `indices`.
     fn allocate(
         &mut self,
         id: &JobId,
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,8 +1,9 @@
-//! Preemption: which running tasks to stop for a job that finds no room and for which no machines
-//! can be rented.
+//! Preemption: chooses running tasks to stop for a job that does not fit on any machine and for
+//! which no machines can be rented.
 //!
-//! Work gives way to work of higher priority. Work that a team runs beyond its guarantee also gives
-//! way, whatever its priority, to a job within another team's guarantee.
+//! A task can be preempted for a job of higher priority. A task that its team runs beyond its
+//! guarantee can also be preempted, whatever its priority, for a job within another team's
+//! guarantee.
 
 use super::constraints::{TasksByZone, add_tasks, zone_headroom};
 use super::{Candidate, MachineSnapshot};
@@ -15,18 +16,18 @@
 /// A task that may be stopped for another job.
 #[derive(Debug, Clone)]
 pub struct PreemptibleTask<'a> {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// The machine that it is on.
+    /// Machine on which the task is placed.
     pub machine: MachineId,
-    /// Its job.
+    /// Job of the task.
     pub job: &'a Job,
-    /// Whether its job is within its team's guarantee.
+    /// Whether the task's job is within its team's guarantee.
     pub within_guarantee: bool,
 }
 
 impl PreemptibleTask<'_> {
-    /// Whether it may be stopped for `candidate`.
+    /// Reports whether the task may be stopped for `candidate`.
     fn can_be_preempted_by(&self, candidate: &Candidate<'_>) -> bool {
         let is_other_team = self.job.spec.team != candidate.job.spec.team;
         let exceeds_guarantee = !self.within_guarantee;
@@ -47,18 +48,19 @@
     }
 }
 
-/// What it costs to stop a task. The order of fields is the order of comparison.
+/// Cost of stopping a task. Fields are compared in the order of their declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionCost {
-    /// Priority of its job.
+    /// Priority of the task's job.
     priority: Priority,
-    /// Whether the job writes no checkpoints.
+    /// Whether the task loses its progress, because its job writes no checkpoints.
     loses_progress: bool,
-    /// Tasks that stop with it: those of a gang stop together.
+    /// Number of tasks that stop, this one included. The tasks of a gang stop together.
     stopped_tasks: usize,
 }
 
-/// The tasks of open jobs that may be stopped for others, by job and index.
+/// Returns the tasks of open jobs that may be stopped for other jobs, in the order of `jobs` and of
+/// the tasks' numbers.
 pub fn preemptible_tasks<'a>(
     jobs: impl Iterator<Item = (&'a JobId, &'a Job)>,
     is_within_guarantee: impl Fn(&JobId) -> bool,
@@ -85,13 +87,16 @@
     tasks
 }
 
-/// Whether a task has run for a while: the start of one that has just begun would not count.
+/// Reports whether a task may be preempted. It must not be stopping already and must have been in
+/// its current stage for [`MIN_RUN_BEFORE_PREEMPTION`], because the start of a task that is stopped
+/// earlier does not count.
 fn is_preemptible(placement: &Placement, now: Timestamp) -> bool {
     placement.stop_request.is_none() && now >= placement.stage_since + MIN_RUN_BEFORE_PREEMPTION
 }
 
-/// Chooses tasks to stop so that `tasks` tasks of the candidate fit; none if that is impossible.
-/// For each of them, the machine is taken on which it costs least.
+/// Chooses running tasks to stop so that `tasks` tasks of the candidate fit. Returns no victims if
+/// that is impossible. For each of the candidate's tasks, the machine with the lowest cost of
+/// preemption is chosen.
 pub fn choose_victims(
     candidate: &Candidate<'_>,
     tasks: u32,
@@ -114,17 +119,18 @@
     victims
 }
 
-/// A machine with the tasks on it that give way to a candidate.
+/// A machine and the tasks on it that can be preempted for a candidate.
 struct PreemptibleMachine<'a> {
     snapshot: &'a MachineSnapshot,
-    /// The most expensive first, so that the cheapest is popped.
+    /// Preemptible tasks, most expensive first, so that `pop` removes the cheapest.
     preemptible: Vec<&'a PreemptibleTask<'a>>,
-    /// Resources that are available once the victims so far have stopped.
+    /// Resources that are available once the victims chosen so far have stopped.
     available: Resources,
 }
 
 impl PreemptibleMachine<'_> {
-    /// How many tasks, the cheapest first, have to stop for `request` to fit.
+    /// Returns how many tasks, cheapest first, have to stop for `request` to fit, or `None` if it
+    /// does not fit even when all of them stop.
     fn victims_needed(&self, request: Resources) -> Option<usize> {
         let mut available = self.available;
         let mut count = 0;
@@ -136,13 +142,13 @@
         Some(count)
     }
 
-    /// The highest cost among the `count` cheapest tasks.
+    /// Returns the highest cost among the `count` cheapest tasks, or `None` if `count` is 0.
     fn max_cost(&self, count: usize) -> Option<PreemptionCost> {
         let cheapest = self.preemptible.iter().rev().take(count);
         cheapest.map(|task| task.cost()).max()
     }
 
-    /// Moves the `count` cheapest tasks to the victims.
+    /// Moves the `count` cheapest tasks to `victims` and counts their resources as available.
     fn preempt_cheapest(&mut self, count: usize, victims: &mut Vec<TaskId>) {
         for _ in 0..count {
             if let Some(victim) = self.preemptible.pop() {
@@ -153,7 +159,8 @@
     }
 }
 
-/// All machines, in the order of `snapshots`, with the tasks that give way to the candidate.
+/// Returns all machines, in the order of `snapshots`, with the tasks on them that can be preempted
+/// for the candidate.
 fn preemptible_machines<'a>(
     candidate: &Candidate<'_>,
     snapshots: &'a [MachineSnapshot],
@@ -179,18 +186,20 @@
     machines
 }
 
-/// A way to make room for one task. The order of fields is the order of comparison.
+/// A machine and the number of tasks to stop on it so that one more task fits. Fields are compared
+/// in the order of their declaration.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionChoice {
-    /// The highest cost of a victim; `None` if no task has to stop.
+    /// Highest cost of a victim, or `None` if no task has to stop.
     max_cost: Option<PreemptionCost>,
     /// Number of tasks to stop.
     victims: usize,
-    /// Index of the machine.
+    /// Index of the machine in the list of machines.
     machine_index: usize,
 }
 
-/// The cheapest way to make room for one more task.
+/// Returns the preemption of lowest cost that makes room for one more task of the job, or `None` if
+/// no machine can be given enough room.
 fn cheapest_preemption(
     spec: &JobSpec,
     placed: &TasksByZone,
--- a/src/placement/preemption/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -5,7 +5,7 @@
 use crate::wire::user::{JobKind, tests::job as job_submission};
 use crate::wire::worker::TaskState;
 
-/// A job whose first tasks run on `machines`, one on each.
+/// Returns a job whose first tasks run on `machines`, one task for each entry.
 fn job(team: &str, priority: Priority, machines: &[&str]) -> Job {
     let mut submission = job_submission("run-1", JobKind::Array, 4);
     submission.team = team.into();
@@ -31,14 +31,14 @@
     job
 }
 
-/// A job that runs.
+/// A job with running tasks.
 struct RunningJob<'a> {
     id: &'a str,
     job: &'a Job,
     within_guarantee: bool,
 }
 
-/// The victims for one task of `waiting` on two machines of four GPUs.
+/// Returns the victims that are chosen for one task of `waiting` on two machines of four GPUs.
 fn victims(waiting: &Job, within_guarantee: bool, running: &[RunningJob<'_>]) -> Vec<String> {
     let mut snapshots = ["a", "b"].map(|id| snapshot(id, "east", 4.0));
     for job in running.iter().map(|running| running.job) {
@@ -73,7 +73,7 @@
         .collect()
 }
 
-/// A running job outside its team's guarantee.
+/// Returns a running job that exceeds its team's guarantee.
 fn beyond_guarantee<'a>(id: &'a str, job: &'a Job) -> RunningJob<'a> {
     RunningJob {
         id,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn lower_priority_gives_way_and_equal_does_not() {
+fn lower_priority_is_preempted_and_equal_priority_is_not() {
     let waiting = job("x", Priority::High, &[]);
     let low = job("x", Priority::Low, &["a", "b"]);
     let normal = job("x", Priority::Normal, &["a", "b"]);
@@ -98,18 +98,18 @@
 }
 
 #[test]
-fn borrowed_room_is_given_back_whatever_its_priority() {
+fn tasks_beyond_guarantee_are_preempted_for_guaranteed_job_regardless_of_priority() {
     let waiting = job("x", Priority::Normal, &[]);
     let other_team = job("y", Priority::Production, &["a", "a", "b", "b"]);
-    let borrowing = [beyond_guarantee("run-9", &other_team)];
-    assert_eq!(victims(&waiting, true, &borrowing).len(), 1);
+    let exceeding_guarantee = [beyond_guarantee("run-9", &other_team)];
+    assert_eq!(victims(&waiting, true, &exceeding_guarantee).len(), 1);
     let guaranteed = [RunningJob {
         within_guarantee: true,
         ..beyond_guarantee("run-9", &other_team)
     }];
     assert!(
         victims(&waiting, true, &guaranteed).is_empty(),
-        "within its team's guarantee"
+        "the running job is within its team's guarantee"
     );
-    assert!(victims(&waiting, false, &borrowing).is_empty());
+    assert!(victims(&waiting, false, &exceeding_guarantee).is_empty());
 }
--- a/src/placement/quota.rs
+++ b/src/placement/quota.rs
@@ -1,11 +1,12 @@
-//! Teams' quotas while a round is planned.
+//! Quotas of the teams while a round is planned.
 
 use crate::model::Resources;
 use crate::settings::Limit;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What each team uses and may use. A team without a limit may use nothing.
+/// Resources that each team uses, and each team's limit. A team without an entry for its limit may
+/// use nothing.
 #[derive(Debug, Clone, Default)]
 pub struct QuotaUsage {
     used: BTreeMap<Arc<str>, Resources>,
@@ -13,18 +14,18 @@
 }
 
 impl QuotaUsage {
-    /// Sets what a team may use.
+    /// Sets the limit of a team.
     pub fn set_limit(&mut self, team: Arc<str>, limit: Limit) {
         self.limits.insert(team, limit);
     }
 
-    /// Counts resources that a team uses.
+    /// Adds resources to those that a team uses.
     pub fn add_usage(&mut self, team: &Arc<str>, resources: Resources) {
         *self.used.entry(team.clone()).or_default() += resources;
     }
 
-    /// Reserves `request` for a team up to `max_count` times, as far as its limit allows; returns
-    /// how many times it did.
+    /// Reserves `request` for a team up to `max_count` times, as far as the team's limit allows,
+    /// and returns the number of requests reserved.
     pub(super) fn reserve(&mut self, team: &Arc<str>, request: Resources, max_count: u32) -> u32 {
         let used = self.used_by(team);
         let remaining = self.limits.get(team).map(|limit| limit.remaining(used));
--- a/src/placement/reservation.rs
+++ b/src/placement/reservation.rs
@@ -1,7 +1,7 @@
 //! Reservation of machines for a starving gang.
 //!
-//! Without it, smaller jobs take each machine as it becomes free, and a gang that needs many whole
-//! machines never starts.
+//! Without a reservation, smaller jobs take each machine as it becomes free, and a gang that needs
+//! many whole machines never starts.
 
 use super::gang::zones;
 use super::snapshot::MachineSnapshot;
@@ -9,25 +9,27 @@
 use crate::model::{JobSpec, Resources};
 use std::sync::Arc;
 
-/// Machines that would hold a whole gang once their present work has ended.
+/// Machines on which a whole gang fits once their current batch tasks have ended.
 struct Reservation {
-    /// Work that has to end, in thousandths of a machine.
+    /// Sum of the parts of the machines that batch tasks have to free, in thousandths of a machine.
     permille_to_free: u64,
     /// Indices of the machines in the snapshots.
     machine_indices: Vec<usize>,
 }
 
-/// A machine that could take tasks of the gang.
+/// A machine that can take tasks of the gang once its batch tasks have ended.
 struct ReservableMachine {
+    /// Index of the machine in the snapshots.
     index: usize,
-    /// Work on it that has to end, in thousandths of the machine.
+    /// Part of the machine that batch tasks have to free, in thousandths.
     permille_to_free: u64,
-    /// Tasks of the gang that it then holds.
+    /// Number of tasks of the gang that then fit on the machine.
     tasks: u32,
 }
 
-/// Reserves the machines that are nearest to having room for the whole gang, in one zone if it asks
-/// for that: no job after it in the order of service starts tasks on them in this round.
+/// Reserves the machines on which the least has to be freed for the whole gang to fit, within one
+/// zone if the gang requires a single zone. Jobs after the gang in the order of service start no
+/// tasks on reserved machines in this round. Reserves nothing if the machines cannot hold the gang.
 pub(super) fn reserve_for_gang(spec: &JobSpec, snapshots: &mut [MachineSnapshot]) {
     let reservation = if spec.single_zone {
         zones(snapshots)
@@ -45,8 +47,8 @@
     }
 }
 
-/// The machines, those with the least work to end first, that together hold the gang; `None` if all
-/// of them do not.
+/// Returns machines that together can hold the gang, choosing those first on which the least has to
+/// be freed. Returns `None` if all machines together cannot hold the gang.
 fn find_reservation(
     spec: &JobSpec,
     snapshots: &[MachineSnapshot],
@@ -75,7 +77,8 @@
     (unassigned_tasks == 0).then_some(reservation)
 }
 
-/// The machine, if it could take a task of the gang once all work on it but services has ended.
+/// Returns the machine if it can take a task of the gang once all tasks on it except services have
+/// ended.
 fn reservable_machine(
     spec: &JobSpec,
     index: usize,
--- a/src/placement/reservation/tests.rs
+++ b/src/placement/reservation/tests.rs
@@ -2,14 +2,14 @@
 use crate::placement::tests::{job, snapshot};
 use crate::wire::user::{JobKind, JobSubmission};
 
-/// A machine of eight GPUs in `zone`, of which `available_gpus` are available.
+/// Returns a machine of eight GPUs in `zone`, of which `available_gpus` are available.
 fn machine(id: &str, zone: &str, available_gpus: u64) -> MachineSnapshot {
     let mut machine = snapshot(id, zone, 8.0);
     machine.available.gpus = available_gpus * 1000;
     machine
 }
 
-/// A gang of `tasks` tasks that take a whole machine each.
+/// Returns the specification of a gang of `tasks` tasks, each of which takes a whole machine.
 fn gang_of_whole_machines(tasks: u64, single_zone: bool) -> JobSpec {
     let change = |submission: &mut JobSubmission| {
         submission.gpus = 8.0;
@@ -18,7 +18,7 @@
     job(JobKind::Gang, tasks, change).spec
 }
 
-/// The ids of the machines on which nothing is available after the reservation.
+/// Reserves machines for the gang and returns the ids of those on which nothing is available then.
 fn reserved<'a>(spec: &JobSpec, machines: &'a mut [MachineSnapshot]) -> Vec<&'a str> {
     reserve_for_gang(spec, machines);
     machines
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn machines_with_the_least_work_to_end_are_reserved() {
+fn machines_with_the_least_to_free_are_reserved() {
     let mut machines = [
         machine("a", "east", 1),
         machine("b", "east", 7),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_gang_that_needs_one_zone_reserves_in_one_zone() {
+fn single_zone_gang_reserves_machines_in_one_zone() {
     let mut machines = [
         machine("a", "east", 1),
         machine("b", "east", 7),
@@ -56,7 +56,7 @@
     let mut machines = [machine("a", "east", 1), machine("b", "west", 7)];
     let gang = gang_of_whole_machines(3, false);
     assert!(reserved(&gang, &mut machines).is_empty());
-    // A service on a machine does not end.
+    // A service does not end, so the resources that it uses never become free.
     machines[0].used_by_services.gpus = 1000;
     let gang = gang_of_whole_machines(2, false);
     assert!(reserved(&gang, &mut machines).is_empty());
--- a/src/placement/round.rs
+++ b/src/placement/round.rs
@@ -1,45 +1,50 @@
-//! A round as the planner returns it, and its limits.
+//! The plan of a round that the planner returns, and the limits of a round.
 
 use crate::model::{JobId, MachineId};
 
-/// What one round may hold.
+/// Limits of one round.
 #[derive(Debug, Clone, Copy)]
 pub struct RoundLimits {
-    /// Starts that one transaction writes.
+    /// Maximum number of starts, which is the number that one transaction can write.
     pub max_starts: usize,
-    /// Jobs with starts: the round's transaction compares the version of each.
+    /// Maximum number of jobs with starts. The round's transaction compares the version of each
+    /// such job's record.
     pub max_jobs: usize,
-    /// Whether a gang with more tasks than `starts` may be placed in a round of its own.
+    /// Whether a gang with more tasks than `max_starts` may be placed, in a separate round.
     pub allows_large_gang: bool,
 }
 
 /// The start of one task on a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskStart {
-    /// The task's job.
+    /// Job of the task.
     pub job: JobId,
-    /// Number of the task in its job.
+    /// Index of the task within its job.
     pub index: u32,
-    /// The machine on which it starts.
+    /// Machine on which the task starts.
     pub machine: MachineId,
 }
 
-/// Tasks of a job that its team's limit allows but that find no room.
+/// Number of a job's tasks that its team's limit allows but that do not fit on the machines or in
+/// the round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnplacedTasks {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Number of its tasks without room.
+    /// Number of unplaced tasks, for an array or service at most [`MAX_UNPLACED_TASKS`].
+    ///
+    /// [`MAX_UNPLACED_TASKS`]: crate::constants::MAX_UNPLACED_TASKS
     pub tasks: u32,
 }
 
-/// The decisions of one pass over the waiting jobs.
+/// Result of one planning pass over the waiting jobs.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RoundPlan {
-    /// Starts of a round that one transaction writes.
+    /// Starts of the round that one transaction writes.
     pub starts: Vec<TaskStart>,
-    /// Starts of one gang that one transaction cannot write: a round of its own.
+    /// Starts of one gang that has more tasks than one transaction can write. They form a separate
+    /// round.
     pub large_gang: Vec<TaskStart>,
-    /// Tasks without room, by job in the order of service.
+    /// Unplaced tasks of each job, in the order of service.
     pub unplaced: Vec<UnplacedTasks>,
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// An empty on-demand machine.
+/// Returns an empty on-demand machine.
 pub(crate) fn snapshot(id: &str, zone: &str, gpus: f64) -> MachineSnapshot {
     let capacity = Resources::capacity(64.0, gpus, 512.0);
     MachineSnapshot {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A candidate of which nothing is placed.
+/// Returns a candidate without placed tasks.
 pub(crate) fn candidate<'a>(id: &'a JobId, job: &'a Job) -> Candidate<'a> {
     Candidate {
         id,
@@ -36,7 +36,8 @@
     }
 }
 
-/// An open job of the team "vision" whose tasks request one GPU each, unless `change` says otherwise.
+/// Returns an open job of the team "vision" whose tasks request one GPU each. `change` modifies the
+/// job's submission.
 pub(super) fn job(kind: JobKind, tasks: u64, change: impl Fn(&mut JobSubmission)) -> Job {
     let mut submission = job_submission("run-1", kind, tasks);
     change(&mut submission);
@@ -49,7 +50,8 @@
     )
 }
 
-/// Quotas with a limit for the team "vision", in thousandths of a GPU; `None` for no bound.
+/// Returns quotas with a limit for the team "vision", in thousandths of a GPU. `None` means no
+/// limit.
 fn quotas(max_gpus: Option<u64>) -> QuotaUsage {
     let mut quotas = QuotaUsage::default();
     let limit = Limit {
@@ -66,7 +68,7 @@
     allows_large_gang: true,
 };
 
-/// Plans a round for one job; the snapshots keep their order.
+/// Plans a round for one job. Afterwards, the snapshots are sorted by machine id.
 fn plan_job(job: &Job, snapshots: &mut [MachineSnapshot], max_gpus: Option<u64>) -> RoundPlan {
     let id = JobId::from("run-1");
     let mut machines = snapshots.to_vec();
@@ -81,13 +83,13 @@
     plan
 }
 
-/// The machine of each start.
+/// Returns the machine of each start.
 fn machines_of(plan: &RoundPlan) -> Vec<&str> {
     plan.starts.iter().map(|start| &*start.machine.0).collect()
 }
 
 #[test]
-fn tasks_fill_the_fullest_machine_first() {
+fn tasks_are_placed_on_the_fullest_machine_first() {
     let mut snapshots = [snapshot("a", "east", 8.0), snapshot("b", "east", 8.0)];
     snapshots[1].available.gpus = 2000;
     let plan = plan_job(&job(JobKind::Array, 3, |_| {}), &mut snapshots, None);
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn images_on_the_machine_count_before_fullness() {
+fn machines_with_the_image_are_preferred_to_fuller_machines() {
     let mut snapshots = [
         snapshot("a", "east", 8.0),
         snapshot("b", "east", 8.0),
@@ -112,12 +114,12 @@
     assert_eq!(
         machines_of(&plan),
         ["b", "c", "c"],
-        "the machine that has it, then one that fetches it alone"
+        "first the machine that has the image, then a machine without other fetches"
     );
 }
 
 #[test]
-fn team_limits_bound_starts_and_demand() {
+fn team_limit_bounds_starts_and_unplaced_tasks() {
     let mut snapshots = [snapshot("a", "east", 8.0)];
     let plan = plan_job(
         &job(JobKind::Array, 100, |_| {}),
@@ -135,21 +137,21 @@
 }
 
 #[test]
-fn gangs_are_placed_whole_and_in_one_zone_if_asked() {
+fn gang_is_placed_as_a_whole_and_in_one_zone_if_required() {
     let mut snapshots = [snapshot("a", "east", 2.0), snapshot("b", "west", 2.0)];
     let gang = job(JobKind::Gang, 3, |submission| submission.single_zone = true);
     let plan = plan_job(&gang, &mut snapshots, None);
     assert!(plan.starts.is_empty() && plan.unplaced[0].tasks == 3);
     assert_eq!(
         snapshots[0].available.gpus, 2000,
-        "nothing is held for a gang that does not fit"
+        "no resources are allocated to a gang that does not fit"
     );
     let plan = plan_job(&job(JobKind::Gang, 3, |_| {}), &mut snapshots, None);
     assert_eq!(plan.starts.len(), 3);
 }
 
 #[test]
-fn zones_machine_types_and_spot_rules_are_kept() {
+fn zone_machine_type_and_spot_constraints_are_honored() {
     let mut snapshots = [snapshot("a", "east", 9.0), snapshot("b", "west", 9.0)];
     let plan = plan_job(
         &job(JobKind::Service, 5, |submission| {
@@ -192,10 +194,10 @@
     );
 }
 
-/// A heartbeat lists every task and holds 64 KiB: a machine filled with small tasks could not send
-/// one that is accepted.
+/// A heartbeat lists every task of its machine and may have at most 64 KiB. If a machine were
+/// filled with small tasks without a limit, its heartbeats would exceed that size and be refused.
 #[test]
-fn a_machine_takes_no_more_tasks_than_its_reports_can_name() {
+fn machine_takes_no_more_tasks_than_a_heartbeat_can_list() {
     let tiny = |submission: &mut JobSubmission| {
         (submission.cpus, submission.gpus, submission.memory_gb) = (0.01, 0.0, 0.01)
     };
@@ -215,8 +217,8 @@
     }
 }
 
-/// Eight-GPU machines in two zones, each with a random number of GPUs available and sometimes with
-/// the jobs' image.
+/// Returns machines of eight GPUs in two zones, each with a random number of available GPUs. Some
+/// of them have the jobs' image.
 fn random_machines(random: &mut SmallRng) -> Vec<MachineSnapshot> {
     let mut machines: Vec<MachineSnapshot> = (0..random.random_range(1..30))
         .map(|number| snapshot(&format!("m{number:02}"), ["east", "west"][number % 2], 8.0))
@@ -230,7 +232,7 @@
     machines
 }
 
-/// Jobs of random kinds, some of them gangs that need one zone.
+/// Returns jobs of random kinds. Some of them are gangs that require a single zone.
 fn random_jobs(random: &mut SmallRng) -> Vec<(JobId, Job)> {
     let kinds = [JobKind::Array, JobKind::Gang, JobKind::Service];
     (0..random.random_range(1..6))
@@ -249,10 +251,10 @@
         .collect()
 }
 
-/// Machines without room for any candidate's task make no difference to a round, so that a pass need
-/// not copy them.
+/// A scheduling pass does not copy the machines without room for any candidate's task. A plan made
+/// without them must equal the plan made with all machines.
 #[test]
-fn machines_without_room_for_anybody_do_not_change_a_round() {
+fn machines_without_room_for_any_candidate_do_not_change_the_plan() {
     let seed = 11;
     let mut random = SmallRng::seed_from_u64(seed);
     let (mut left_out, mut starts) = (0, 0);
