--- a/src/placement/candidate.rs
+++ b/src/placement/candidate.rs
@@ -54,8 +54,9 @@
         within_guarantee: bool,
         deadline: Reverse<UnixTime>,
     },
-    /// Ranked above all regular jobs, by the time at which the job became ready. Ranking these jobs
-    /// by priority would let a lasting backlog of urgent jobs delay the others without bound.
+    /// Ranked above all regular jobs, by the time at which the job became ready, earliest first.
+    /// Ranking these jobs by priority would let a lasting backlog of urgent jobs delay the others
+    /// without bound.
     Starving { ready_at: Reverse<UnixTime> },
 }
 
--- a/src/placement/snapshot.rs
+++ b/src/placement/snapshot.rs
@@ -59,8 +59,8 @@
 }
 
 impl MachineSnapshot {
-    /// Allocates the resources of `count` tasks of a job and adds the fetch of their image if the
-    /// machine has yet to start fetching it.
+    /// Allocates the resources of `count` tasks of a job and adds the fetch of their image
+    /// unless the image is cached or already being fetched.
     pub fn allocate(&mut self, spec: &JobSpec, count: u32) {
         let request = spec.request.times(u64::from(count));
         self.available = self.available - request;
