--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -63,7 +63,7 @@
             }
             // That it was accepted and is not over is all that is known of it.
             StoredJob::Unreadable { .. } => JobState::Queued,
-            StoredJob::Active { record, .. } if record.waits() => {
+            StoredJob::Active { record, .. } if record.is_blocked() => {
                 self.blocked_state(id, record.job.tasks).await?
             }
             StoredJob::Active { .. } => {
@@ -98,7 +98,7 @@
             }
             // Since its record was read it has been unblocked, or is over.
             Some(Reply::BlockedJobState(None)) => match self.look_up(id).await? {
-                StoredJob::Active { record, .. } if !record.waits() => Ok(JobState::Queued),
+                StoredJob::Active { record, .. } if !record.is_blocked() => Ok(JobState::Queued),
                 StoredJob::Final(final_state) => Ok(final_state.state),
                 _ => Err(NotExecutedCause::RecordMoved.into()),
             },
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -234,7 +234,7 @@
     match job.phase {
         JobPhase::Done { recorded: false } => {
             let tasks = u64::from(job.spec.tasks);
-            records::finish_job(transaction, &id.0, job.version, JobState::Done, tasks)
+            records::add_job_end(transaction, &id.0, job.version, JobState::Done, tasks)
         }
         // Its final record was written with the cancellation.
         JobPhase::Cancelled if job.placements.is_empty() => {
--- a/src/engine/dependencies.rs
+++ b/src/engine/dependencies.rs
@@ -253,7 +253,7 @@
             DependencyState::Cancelled => {
                 let tasks = job.record.job.tasks;
                 let state = JobState::Cancelled;
-                records::finish_job(transaction, &id.0, job.version, state, tasks)
+                records::add_job_end(transaction, &id.0, job.version, state, tasks)
             }
             DependencyState::Waiting | DependencyState::Unknown => transaction,
         }
--- a/src/engine/dependencies/tests.rs
+++ b/src/engine/dependencies/tests.rs
@@ -78,8 +78,8 @@
     let Mutation::Put { value, .. } = &transaction.mutations[0] else {
         panic!("{transaction:?}");
     };
-    let record = records::read_job(value.clone()).unwrap();
-    assert!(!record.waits());
+    let record = records::parse_job_record(value.clone()).unwrap();
+    assert!(!record.is_blocked());
     assert_eq!(record.ready_at, Some(NOW));
     let written = dependencies.on_unblocked_job_written(&id, NOW);
     assert!(matches!(written, Some(UnblockedJob::Ready(ready)) if *ready == record));
--- a/src/engine/live_records.rs
+++ b/src/engine/live_records.rs
@@ -140,7 +140,7 @@
         if known.is_some_and(|known| known >= version) {
             return;
         }
-        let Some(record) = records::read_job(value) else {
+        let Some(record) = records::parse_job_record(value) else {
             if self.live.mark_unreadable(key) {
                 let consequence = "the job is left alone";
                 tracing::error!(key, consequence, "unreadable record");
@@ -148,7 +148,7 @@
             return;
         };
         self.live.clear_unreadable(key);
-        if record.waits() {
+        if record.is_blocked() {
             return self.dependencies.insert(id.clone(), record, version);
         }
         self.dependencies.remove(id);
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -68,7 +68,7 @@
 
 impl From<JobRecord> for StoredJob {
     fn from(record: JobRecord) -> Self {
-        let blocked = record.waits();
+        let blocked = record.is_blocked();
         let submission = Some(record.job);
         let (job, blocked_job) = match blocked {
             true => (None, submission),
@@ -110,7 +110,7 @@
     }
 
     /// Whether it waits for dependencies.
-    pub fn waits(&self) -> bool {
+    pub fn is_blocked(&self) -> bool {
         !self.cancelled && !self.job.depends_on.is_empty()
     }
 
@@ -203,7 +203,7 @@
 
 /// Adds a job's end to a transaction: its final record comes and its live one goes, if that still
 /// has this version.
-pub(super) fn finish_job(
+pub(super) fn add_job_end(
     transaction: Transaction,
     id: &str,
     version: u64,
@@ -240,12 +240,12 @@
 }
 
 /// Reads a job's record; `None` if the value has another form.
-pub fn read_job(value: Value) -> Option<JobRecord> {
+pub fn parse_job_record(value: Value) -> Option<JobRecord> {
     from_value(value)
 }
 
 /// Reads a final record; `None` if the value has another form.
-pub fn read_final(value: Value) -> Option<FinalRecord> {
+pub fn parse_final_record(value: Value) -> Option<FinalRecord> {
     from_value(value)
 }
 
--- a/src/engine/records/fixture_tests.rs
+++ b/src/engine/records/fixture_tests.rs
@@ -119,7 +119,7 @@
         both_ways(&mut table, name, &record);
         let written = wire::encode(&job_value(&record));
         assert_eq!(written, wire::encode(&to_value(&record)), "{name}");
-        assert_eq!(read_job(job_value(&record)), Some(record), "{name}");
+        assert_eq!(parse_job_record(job_value(&record)), Some(record), "{name}");
     }
     // Neither `job` nor `step`: not a record.
     let neither = table.take_bytes("neither");
@@ -150,7 +150,11 @@
             tasks: 100_000,
         };
         both_ways(&mut table, name, &record);
-        assert_eq!(read_final(final_value(&record)), Some(record), "{name}");
+        assert_eq!(
+            parse_final_record(final_value(&record)),
+            Some(record),
+            "{name}"
+        );
     }
     let lead = LeaderRecord {
         node: "drone-1".into(),
@@ -181,7 +185,7 @@
 fn ends_of_jobs_are_written_as_pinned() {
     let mut table = FixtureTable::open("records/ends.txt");
     for (name, state) in [("done", JobState::Done), ("cancelled", JobState::Cancelled)] {
-        let txn = finish_job(Transaction::default(), "run-000412", 41, state, 16);
+        let txn = add_job_end(Transaction::default(), "run-000412", 41, state, 16);
         assert_eq!(wire::encode(&txn), table.take_bytes(name), "{name}");
     }
     table.finish();
--- a/src/engine/records/tests.rs
+++ b/src/engine/records/tests.rs
@@ -9,7 +9,7 @@
         job("run-7", JobKind::Gang, 2),
         UnixTime::from_millis(1_700_000_000_000),
     );
-    assert_eq!(read_job(job_value(&record)).unwrap(), record);
+    assert_eq!(parse_job_record(job_value(&record)).unwrap(), record);
     let round = RoundRecord {
         starts: vec![StartRecord {
             job: "run-7".into(),
@@ -81,7 +81,7 @@
     assert_eq!(stored::<JobRecord>(open), Some(gang()));
     both(open, job_value(&gang()));
     let cancelled: JobRecord = stored(production!("cancelled")).unwrap();
-    assert!(cancelled.cancelled && !cancelled.waits());
+    assert!(cancelled.cancelled && !cancelled.is_blocked());
     for (bytes, state) in [
         (production!("final_done"), JobState::Done),
         (production!("final_aborted"), JobState::Cancelled),
@@ -161,13 +161,13 @@
     waiting.job.depends_on = vec!["run-6".into()];
     let as_production = |record: &JobRecord| from_value::<Production>(job_value(record));
     assert!(as_production(&waiting).is_none());
-    assert_eq!(read_job(job_value(&waiting)), Some(waiting.clone()));
+    assert_eq!(parse_job_record(job_value(&waiting)), Some(waiting.clone()));
     let ready = waiting
         .clone()
         .ready(UnixTime::from_millis(1_700_000_000_500));
     assert!(as_production(&ready).is_some_and(|record| !record.cancelled));
     assert_eq!(
-        read_job(job_value(&ready)).unwrap().ready_at,
+        parse_job_record(job_value(&ready)).unwrap().ready_at,
         ready.ready_at
     );
     let cancelled = waiting.cancelled();
@@ -201,7 +201,7 @@
     waiting.job.machine_types = Some(vec!["g8".into()]);
     waiting.job.deadline_s = Some(900.0);
     reads_and_writes(dependencies!("waiting"), &waiting);
-    assert!(waiting.waits());
+    assert!(waiting.is_blocked());
     let for_two = submitted("run-10", JobKind::Array, 4, &["run-8", "run-9"]);
     reads_and_writes(dependencies!("waiting_for_two"), &for_two);
     let called_off = submitted("run-9", JobKind::Array, 3, &["run-7"]).cancelled();
@@ -209,7 +209,7 @@
     let ready_ms = stored::<JobRecord>(dependencies!("ready")).and_then(|record| record.ready_at);
     let ready = waiting.ready(ready_ms.expect("when it was released"));
     reads_and_writes(dependencies!("ready"), &ready);
-    assert!(!ready.waits() && ready.ready_at > Some(ready.submitted_at));
+    assert!(!ready.is_blocked() && ready.ready_at > Some(ready.submitted_at));
     for (bytes, state, tasks) in [
         (dependencies!("final_done"), JobState::Done, 2),
         (
--- a/src/engine/tests/dependencies/status_queries.rs
+++ b/src/engine/tests/dependencies/status_queries.rs
@@ -196,7 +196,7 @@
     };
     if record.cancelled {
         Some(CANCELLED)
-    } else if record.waits() {
+    } else if record.is_blocked() {
         None
     } else if cluster.running_tasks(LEAF) > 0 {
         Some(StatusAnswer::State(JobState::Running))
