--- a/src/engine/rounds/maintenance.rs
+++ b/src/engine/rounds/maintenance.rs
@@ -1,4 +1,4 @@
-//! Undoes starts that stall, and has the records of rounds that are over removed.
+//! Undoes stalled starts, and removes the records of finished rounds.
 
 use super::{Round, Rounds};
 use crate::constants;
@@ -7,21 +7,21 @@
 use crate::model::{Job, PlacementStage, TaskId, Timestamp};
 
 impl Rounds {
-    /// Begins a maintenance pass if one is due; whether it did.
+    /// Begins a maintenance pass if one is due, and reports whether it did.
     fn begin_maintenance_if_due(&mut self, now: Timestamp) -> bool {
-        let due = now >= self.next_maintenance_at;
-        if due {
+        let is_due = now >= self.next_maintenance_at;
+        if is_due {
             self.next_maintenance_at = now + constants::HOUSEKEEPING_INTERVAL;
         }
-        due
+        is_due
     }
 
-    /// Removes the rounds that nobody needs any more; the keys of their records.
+    /// Removes the rounds whose records are no longer needed, and returns the keys of those records.
     pub(super) fn close_finished(&mut self, jobs: &Jobs) -> Vec<String> {
         let finished: Vec<u64> = self
             .open
             .iter()
-            .filter(|(number, round)| !is_needed(jobs, **number, round))
+            .filter(|(number, round)| !needs_records(jobs, **number, round))
             .map(|(number, _)| *number)
             .collect();
         let rounds = finished
@@ -33,7 +33,7 @@
 }
 
 impl Engine {
-    /// Undoes starts that stall, and has records of finished rounds removed.
+    /// Undoes stalled starts, and queues the records of finished and orphaned rounds for removal.
     pub(in crate::engine) fn maintain_rounds(&mut self) {
         self.search_orphaned_rounds();
         let now = self.context.now();
@@ -46,9 +46,9 @@
         for key in leader.rounds.close_finished(&self.jobs) {
             leader.completions.add_removal(key);
         }
-        // A job that had to wait after a failure becomes due by time alone, with no event.
-        let waits = |job: &Job| job.is_open() && !job.pending.is_empty();
-        if self.jobs.values().any(waits) {
+        // The end of a job's backoff causes no event, so scheduling is requested here.
+        let has_pending_tasks = |job: &Job| job.is_open() && !job.pending.is_empty();
+        if self.jobs.values().any(has_pending_tasks) {
             leader.scheduling.request();
         }
         for task in self.stalled_starts() {
@@ -57,18 +57,20 @@
         }
     }
 
-    /// A start that was never sent, because its machine sends no heartbeat, can be undone at once;
-    /// one that was sent stays until the machine's heartbeat proves where it is.
+    /// Returns the tasks whose start was never sent and which are either overdue, because their
+    /// machine sends no heartbeat, or requested to stop. Such a start can be undone at once. A start
+    /// that was sent is kept until a heartbeat of its machine shows whether the task is there.
     fn stalled_starts(&self) -> Vec<TaskId> {
         let now = self.context.now();
-        let patience =
+        let max_unsent_age =
             constants::STALLED_START_HEARTBEATS * self.context.timing().heartbeat_interval;
         let mut stalled = Vec::new();
         for (id, job) in self.jobs.iter() {
             for (index, placement) in &job.placements {
-                let unsent = matches!(placement.stage, PlacementStage::Starting { sent: None, .. });
-                let late = now.saturating_since(placement.stage_since) > patience;
-                if unsent && (late || placement.stop_request.is_some()) {
+                let is_unsent =
+                    matches!(placement.stage, PlacementStage::Starting { sent: None, .. });
+                let is_late = now.saturating_since(placement.stage_since) > max_unsent_age;
+                if is_unsent && (is_late || placement.stop_request.is_some()) {
                     stalled.push(TaskId {
                         job: id.clone(),
                         index: *index,
@@ -80,16 +82,17 @@
     }
 }
 
-/// Whether a round has a start that may be on its machine, or whose completion is not durable.
-fn is_needed(jobs: &Jobs, number: u64, round: &Round) -> bool {
+/// Reports whether a round has a start that is still placed, or whose completion is not durable.
+fn needs_records(jobs: &Jobs, number: u64, round: &Round) -> bool {
     round.starts().any(|group| {
         let Some(job) = jobs.get(&group.job) else {
             return false;
         };
         group.tasks.iter().any(|index| {
             let placement = job.placements.get(index);
-            let placed = placement.is_some_and(|placement| placement.attempt == number);
-            placed || (job.completed.contains(*index) && !job.durable_completions.contains(*index))
+            let is_placed = placement.is_some_and(|placement| placement.attempt == number);
+            is_placed
+                || (job.completed.contains(*index) && !job.durable_completions.contains(*index))
         })
     })
 }
--- a/src/engine/rounds/mod.rs
+++ b/src/engine/rounds/mod.rs
@@ -1,16 +1,17 @@
-//! Rounds: starts that are planned together, share one attempt number, and are made durable by
-//! compare-and-swap before any of them is sent.
+//! Rounds: batches of task starts that are planned together and share one attempt number. A round is
+//! made durable by compare-and-swap before any of its starts is sent.
 //!
-//! A round that fits into one transaction is written by one. A larger one, always a single gang, is
-//! written by several: all but the last write records that have no effect by themselves, and the
-//! last one makes the round valid as a whole. If the leader is lost in between, its successor finds
-//! starts that no machine reports, and undoes them like any other start that did not arrive. Every
-//! transaction has the same conditions: the leader's key and the versions of the round's jobs. So
-//! none can succeed after the job was cancelled, or after another node became leader, however late
-//! it is carried out.
+//! A round that fits into one transaction is written in one. A larger round, which is always a
+//! single gang, is written in several transactions: all but the last write records that have no
+//! effect by themselves, and the last one makes the round valid as a whole. If the leader is lost
+//! in between, its successor finds starts that no machine reports and undoes them like any other
+//! start that did not arrive. Every transaction has the same conditions: the version of the
+//! leader's key and the versions of the records of the round's jobs. Therefore no transaction can
+//! succeed after one of the jobs was cancelled or another node became leader, however late the
+//! state service applies it.
 //!
-//! [`writing`] makes a round durable, [`maintenance`] undoes starts that stall and removes the
-//! records of rounds that are over, and [`orphans`] finds records that late writes have left.
+//! [`writing`] makes a round durable, [`maintenance`] undoes stalled starts and removes the records
+//! of finished rounds, and [`orphans`] finds records left by writes that were applied late.
 
 mod maintenance;
 mod orphans;
@@ -24,12 +25,12 @@
 use std::collections::BTreeMap;
 use write_state::RoundWrite;
 
-/// Starts of tasks of one job on one machine.
+/// The starts of one job's tasks on one machine.
 #[derive(Debug, Clone)]
 pub(super) struct StartGroup {
     pub(super) job: JobId,
     pub(super) machine: MachineId,
-    /// Indices of the tasks.
+    /// Indices of the tasks within the job.
     pub(super) tasks: Vec<u32>,
 }
 
@@ -53,7 +54,7 @@
     }
 }
 
-/// One record of a round in the state service.
+/// The part of a round that is stored as one record in the state service.
 #[derive(Debug)]
 pub(super) struct RoundPart {
     /// Key of the record.
@@ -61,7 +62,7 @@
     pub(super) starts: Vec<StartGroup>,
 }
 
-/// A round: starts that share one attempt number, in one or more records.
+/// A batch of starts that share one attempt number, stored in one or more records.
 #[derive(Debug, Default)]
 struct Round {
     parts: Vec<RoundPart>,
@@ -73,49 +74,53 @@
     }
 }
 
-/// The rounds of a leader, by number. A round's number is the attempt number of all its starts.
+/// A leader's rounds by number. The number of a round is the attempt number of all its starts.
 #[derive(Debug, Default)]
 pub(super) struct Rounds {
     /// Durable rounds whose records are still needed.
     open: BTreeMap<u64, Round>,
-    /// Rounds being written: at most one of a single transaction and one of several.
+    /// Rounds being written: at most one that takes a single transaction and one that takes several.
     writing: BTreeMap<u64, RoundWrite>,
-    /// Rounds of this term so far.
+    /// Number of rounds begun in this term.
     count: u64,
     next_maintenance_at: Timestamp,
     orphans: OrphanSearch,
 }
 
 impl Rounds {
-    /// Adds a part of a durable round that an earlier leader wrote.
+    /// Adds a part of a durable round that was written by an earlier leader.
     pub(super) fn add_open_part(&mut self, number: u64, part: RoundPart) {
         self.open.entry(number).or_default().parts.push(part);
     }
 
-    /// The number of the next round of that term; `None` if the term has no more.
+    /// Returns the number of the term's next round, or `None` if the term has no numbers left.
     fn next_number(&mut self, term: u64) -> Option<u64> {
         self.count += 1;
         let exhausted = self.count >> constants::ROUND_BITS != 0;
         (!exhausted).then_some((term << constants::ROUND_BITS) | self.count)
     }
 
-    /// Whether any round is being written.
+    /// Reports whether any round is being written.
     pub(super) fn is_writing(&self) -> bool {
         !self.writing.is_empty()
     }
 
-    /// Whether a round of one transaction is being written.
+    /// Reports whether a round that takes a single transaction is being written.
     pub(super) fn is_writing_single(&self) -> bool {
-        self.writing.values().any(|write| !write.needs_several())
+        self.writing
+            .values()
+            .any(|write| !write.needs_multiple_transactions())
     }
 
-    /// Whether a round of several transactions is being written.
+    /// Reports whether a round that takes several transactions is being written.
     pub(super) fn is_writing_several(&self) -> bool {
-        self.writing.values().any(RoundWrite::needs_several)
+        self.writing
+            .values()
+            .any(RoundWrite::needs_multiple_transactions)
     }
 
-    /// Whether a record of this round is or will be needed.
-    fn knows(&self, number: u64) -> bool {
+    /// Reports whether the round is open or being written, so that its records must be kept.
+    fn contains(&self, number: u64) -> bool {
         self.open.contains_key(&number) || self.writing.contains_key(&number)
     }
 }
--- a/src/engine/rounds/orphans.rs
+++ b/src/engine/rounds/orphans.rs
@@ -1,7 +1,8 @@
-//! Finds records of rounds that are over or were abandoned.
+//! Finds the records that finished or abandoned rounds have left in the state service.
 //!
-//! A transaction without a response may be carried out after its round's records were removed; the
-//! record that it leaves starts nothing, but would stay until the next leader reads it.
+//! The state service may apply a transaction that got no response after the round's records were
+//! removed. The record written that way starts no task, but it would stay until the next leader
+//! reads it.
 
 use super::Rounds;
 use crate::constants;
@@ -14,27 +15,28 @@
 use crate::store::{StoreCall, StoreError, StoreReply};
 use crate::wire::store::Listing;
 
-/// When to search, and how far a search has come.
+/// The schedule of searches for orphaned records, and the position of the search in progress.
 #[derive(Debug, Default)]
 pub(super) struct OrphanSearch {
-    /// When to begin the next search; none while no transaction is unaccounted for.
+    /// When the next search begins, or the search in progress began; `None` if no transaction may
+    /// still be applied late.
     next_at: Option<Timestamp>,
-    /// When the last transaction without a response was seen.
+    /// When a transaction last failed without a known outcome.
     last_unanswered_at: Timestamp,
-    /// The last key read by the search in progress.
+    /// The last key that the search in progress has read; `None` before the first page.
     after: Option<String>,
     retry: Retry,
 }
 
 impl OrphanSearch {
-    /// A transaction has got no response and may be carried out late.
+    /// Schedules a search because a transaction got no response and may be applied late.
     pub(super) fn expect_late_write(&mut self, now: Timestamp) {
         self.last_unanswered_at = now;
         self.next_at
             .get_or_insert(now + constants::ORPHANED_ROUND_SEARCH_DELAY);
     }
 
-    /// The call that reads the next page, if it is due.
+    /// Returns the call that reads the next page of round records, if that is due.
     pub(super) fn next_call(&mut self, now: Timestamp) -> Option<StoreCall> {
         let due = self.next_at.is_some_and(|next_at| now >= next_at) && self.retry.is_due(now);
         if !due {
@@ -59,27 +61,29 @@
         }
     }
 
-    /// All records were read, by a search that began at `next_at`.
+    /// Ends the search that began at `next_at`, all records having been read. Schedules another one if
+    /// a later transaction may still leave a record.
     fn finish(&mut self) {
-        let again = self.last_unanswered_at + constants::ORPHANED_ROUND_SEARCH_DELAY;
-        let began_earlier = self.next_at.filter(|began| *began < again);
-        self.next_at = began_earlier.map(|_| again);
+        let next_search_at = self.last_unanswered_at + constants::ORPHANED_ROUND_SEARCH_DELAY;
+        let began_before = self.next_at.filter(|began| *began < next_search_at);
+        self.next_at = began_before.map(|_| next_search_at);
         self.after = None;
     }
 }
 
 impl Rounds {
-    /// Whether the record under this key belongs to a round of this term that is over. Other
-    /// leaders' rounds were read when this term began, or could not be read.
+    /// Reports whether the record with this key belongs to a finished or abandoned round of this
+    /// term. Records of other terms never count: they were read when this term began, or were
+    /// unreadable.
     fn is_orphaned(&self, key: &str, term: u64) -> bool {
         let number = records::parse_round_key(key);
         let number = number.filter(|number| number >> constants::ROUND_BITS == term);
-        number.is_some_and(|number| !self.knows(number))
+        number.is_some_and(|number| !self.contains(number))
     }
 }
 
 impl Engine {
-    /// Reads the next page of the rounds' records, if a search for orphaned ones is due.
+    /// Requests the next page of round records if a search for orphaned records is due.
     pub(super) fn search_orphaned_rounds(&mut self) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -91,7 +95,7 @@
         }
     }
 
-    /// A page of the rounds' records was read, or could not be.
+    /// Handles a page of round records, or the failure to read it: removes the orphaned records.
     pub(in crate::engine) fn on_orphaned_rounds_listed(
         &mut self,
         result: Result<StoreReply, StoreError>,
--- a/src/engine/rounds/tests.rs
+++ b/src/engine/rounds/tests.rs
@@ -11,7 +11,7 @@
     records_per_transaction: 1,
 };
 
-fn starts(count: u32) -> Vec<TaskStart> {
+fn task_starts(count: u32) -> Vec<TaskStart> {
     let start = |index| TaskStart {
         job: "run-1".into(),
         index,
@@ -22,11 +22,11 @@
 
 fn write_of(count: u32) -> RoundWrite {
     let versions = BTreeMap::from([(JobId::from("run-1"), 3)]);
-    RoundWrite::new(1, &starts(count), versions, LIMITS)
+    RoundWrite::new(1, &task_starts(count), versions, LIMITS)
 }
 
 #[test]
-fn round_numbers_hold_the_term_and_end_with_it() {
+fn round_number_contains_term_and_is_none_when_term_is_exhausted() {
     let mut rounds = Rounds::default();
     let first = rounds.next_number(5).unwrap();
     assert_eq!(first >> constants::ROUND_BITS, 5);
@@ -36,28 +36,34 @@
 }
 
 #[test]
-fn a_round_is_durable_when_all_of_its_parts_are() {
+fn round_is_durable_only_after_all_parts_are_durable() {
     let mut write = write_of(3);
-    assert!(write.needs_several());
-    let first = write.transaction(40);
-    assert_eq!(first.mutations.len(), 1);
-    let compared = first.comparisons.iter().map(|one| (&*one.key, one.version));
+    assert!(write.needs_multiple_transactions());
+    let first_transaction = write.transaction(40);
+    assert_eq!(first_transaction.mutations.len(), 1);
+    let compared = first_transaction
+        .comparisons
+        .iter()
+        .map(|one| (&*one.key, one.version));
     let compared: Vec<_> = compared.collect();
     let part = "rounds/0000000000000001";
     assert_eq!(
         compared,
         [("live/lead", 40), (part, 0), ("live/job/run-1", 3)]
     );
-    assert!(write.is_durable_already(&[part.into()]));
+    assert!(write.was_already_applied(&[part.into()]));
     assert!(!write.on_parts_durable());
     assert_eq!(write.durable_keys().collect::<Vec<_>>(), [part]);
-    assert!(!write.is_durable_already(&[part.into()]), "the next part");
+    assert!(
+        !write.was_already_applied(&[part.into()]),
+        "the next part is in flight"
+    );
     assert!(write.on_parts_durable());
     assert_eq!(write.into_round().parts.len(), 2);
 }
 
 #[test]
-fn a_round_is_known_while_it_is_written_or_open() {
+fn round_is_contained_while_being_written_or_open() {
     let mut rounds = Rounds::default();
     rounds.writing.insert(1, write_of(2));
     assert!(rounds.is_writing_single() && !rounds.is_writing_several());
@@ -68,11 +74,11 @@
         starts: Vec::new(),
     };
     rounds.add_open_part(3, part);
-    assert!(rounds.knows(1) && rounds.knows(3) && !rounds.knows(4));
+    assert!(rounds.contains(1) && rounds.contains(3) && !rounds.contains(4));
 }
 
 #[test]
-fn records_are_searched_a_while_after_a_late_write_may_have_left_some() {
+fn orphan_search_starts_after_delay_once_late_write_is_expected() {
     let mut search = OrphanSearch::default();
     assert!(search.next_call(instant(0)).is_none());
     search.expect_late_write(instant(0));
@@ -83,7 +89,7 @@
 }
 
 #[test]
-fn a_round_is_closed_when_none_of_its_starts_matters_any_more() {
+fn round_is_closed_once_no_start_is_placed_or_lacks_durable_completion() {
     let mut job = job(JobKind::Array, 1);
     job.place(0, placement(PlacementStage::Planned));
     let mut rounds = Rounds::default();
@@ -102,9 +108,12 @@
     let job = jobs.get_mut(&"run-1".into()).unwrap();
     job.remove_placement(0);
     job.complete(0);
-    assert!(rounds.close_finished(&jobs).is_empty(), "not durable yet");
+    assert!(
+        rounds.close_finished(&jobs).is_empty(),
+        "completion is not durable yet"
+    );
     let job = jobs.get_mut(&"run-1".into()).unwrap();
     job.durable_completions.insert(0);
     assert_eq!(rounds.close_finished(&jobs), ["rounds/1"]);
-    assert!(!rounds.knows(1));
+    assert!(!rounds.contains(1));
 }
--- a/src/engine/rounds/writing.rs
+++ b/src/engine/rounds/writing.rs
@@ -1,4 +1,4 @@
-//! Makes a round durable before any of its starts is sent.
+//! Writes rounds to the state service, and releases their starts once they are durable.
 
 use super::write_state::{RecordLimits, RoundWrite};
 use super::{Rounds, StartGroup};
@@ -14,34 +14,36 @@
 use crate::wire::store::Transaction;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What follows from the outcome of a round's transaction.
+/// The outcome of a round's transaction.
 enum WriteOutcome {
-    /// Its parts are durable.
+    /// The parts that the transaction wrote are durable.
     Durable,
-    /// Another node leads.
+    /// Another node has become leader.
     LeadershipLost,
-    /// The round surely is not and will not be valid; these keys had changed.
+    /// The round is not valid and can't become valid, because these keys have changed or, if there are
+    /// none, because the state service rejected the transaction.
     Abandoned { changed_keys: Vec<String> },
     /// The outcome is unknown.
     Unknown,
 }
 
 impl Rounds {
-    /// Begins the next transaction of a round, or repeats the one without a response.
+    /// Begins the next transaction of a round, or retries the one that got no response.
     fn begin_transaction(&mut self, number: u64, leader_version: u64) -> Option<Transaction> {
         let write = self.writing.get_mut(&number)?;
         write.retry.begin();
         Some(write.transaction(leader_version))
     }
 
-    /// Rounds whose transaction is to be repeated now.
+    /// Returns the numbers of the rounds whose transaction is due for a retry.
     fn due_writes(&self, now: Timestamp) -> Vec<u64> {
-        let due = |(_, write): &(&u64, &RoundWrite)| write.retry.is_due(now);
-        let writes = self.writing.iter().filter(due);
+        let is_due = |(_, write): &(&u64, &RoundWrite)| write.retry.is_due(now);
+        let writes = self.writing.iter().filter(is_due);
         writes.map(|(number, _)| *number).collect()
     }
 
-    /// The outcome of a round's transaction; `None` if the round is not being written any more.
+    /// Classifies the result of a round's transaction. Returns `None` if the round is no longer being
+    /// written.
     fn outcome_of(
         &self,
         number: u64,
@@ -53,8 +55,8 @@
             Err(StoreError::Conflict(failed)) if failed.iter().any(|key| key == LEADER_KEY) => {
                 WriteOutcome::LeadershipLost
             }
-            // An earlier copy of this very transaction went through.
-            Err(StoreError::Conflict(failed)) if write.is_durable_already(&failed) => {
+            // An earlier attempt of the same transaction was applied.
+            Err(StoreError::Conflict(failed)) if write.was_already_applied(&failed) => {
                 WriteOutcome::Durable
             }
             Err(StoreError::Conflict(changed_keys)) => {
@@ -75,8 +77,9 @@
         })
     }
 
-    /// The transaction in flight may have been carried out, or may be later, even after the round's
-    /// records were removed.
+    /// Schedules a retry of the transaction in flight, whose outcome is unknown, and a search for
+    /// orphaned records: the state service may still apply the transaction after the round's records
+    /// were removed.
     fn on_outcome_unknown(&mut self, number: u64, context: &mut Context) {
         if let Some(write) = self.writing.get_mut(&number) {
             write.retry.failed(context);
@@ -86,7 +89,7 @@
 }
 
 impl Engine {
-    /// Allocates the resources on the model and has the round written.
+    /// Places the tasks in memory and begins to write the round to the state service.
     pub(in crate::engine) fn write_round(&mut self, starts: &[TaskStart]) {
         if starts.is_empty() {
             return;
@@ -98,7 +101,7 @@
         let Some(number) = self.next_round_number() else {
             return;
         };
-        let job_versions = self.place_planned(number, starts);
+        let job_versions = self.place_planned_tasks(number, starts);
         let write = RoundWrite::new(number, starts, job_versions, limits);
         if let Some(leader) = self.leadership.leader_mut() {
             leader.rounds.writing.insert(number, write);
@@ -106,7 +109,8 @@
         self.send_round_transaction(number);
     }
 
-    /// The number of the next round; `None` if this term has no more, and leadership is given up.
+    /// Returns the number of the next round. If the term has no numbers left, steps down and returns
+    /// `None`.
     fn next_round_number(&mut self) -> Option<u64> {
         let leader = self.leadership.leader_mut()?;
         let term = leader.term();
@@ -117,8 +121,8 @@
         number
     }
 
-    /// Places the tasks on the model; the versions of their jobs' records.
-    fn place_planned(&mut self, number: u64, starts: &[TaskStart]) -> BTreeMap<JobId, u64> {
+    /// Places the tasks in memory as planned, and returns the versions of their jobs' records.
+    fn place_planned_tasks(&mut self, number: u64, starts: &[TaskStart]) -> BTreeMap<JobId, u64> {
         let now = self.context.now();
         let mut versions = BTreeMap::new();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -147,7 +151,7 @@
         versions
     }
 
-    /// Sends the round's next transaction, or the one without a response again.
+    /// Sends the round's next transaction, or resends the one that got no response.
     fn send_round_transaction(&mut self, number: u64) {
         let Some(leader) = self.leadership.leader_mut() else {
             return;
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Repeats transactions whose outcome is unknown.
+    /// Retries the round transactions whose outcome is unknown, once they are due.
     pub(in crate::engine) fn repeat_round_writes(&mut self) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader() else {
@@ -171,7 +175,7 @@
         }
     }
 
-    /// The outcome of a round's transaction.
+    /// Handles the result of a round's transaction.
     pub(in crate::engine) fn on_round_written(
         &mut self,
         number: u64,
@@ -186,7 +190,7 @@
             Some(WriteOutcome::LeadershipLost) => self.step_down(StepDownReason::CommitConflict),
             Some(WriteOutcome::Abandoned { changed_keys }) => {
                 self.abandon_round(number);
-                self.pause_changed_jobs(&changed_keys);
+                self.back_off_changed_jobs(&changed_keys);
             }
             Some(WriteOutcome::Unknown) => {
                 leader.rounds.on_outcome_unknown(number, &mut self.context);
@@ -194,8 +198,9 @@
         }
     }
 
-    /// Until the watch tells how the jobs have changed, others must not fail with them again.
-    fn pause_changed_jobs(&mut self, changed_keys: &[String]) {
+    /// Excludes the changed jobs from planning until the watch has delivered their changes. Otherwise
+    /// the next round could fail because of the same jobs, and with it the starts of other jobs.
+    fn back_off_changed_jobs(&mut self, changed_keys: &[String]) {
         let until = self.context.now() + constants::CHANGED_JOB_PAUSE;
         let ids = changed_keys.iter();
         for id in ids.filter_map(|key| key.strip_prefix(JOB_PREFIX)) {
@@ -205,20 +210,22 @@
         }
     }
 
-    /// A transaction's parts are durable: the next one follows, or the starts go out.
+    /// Handles a durable transaction: sends the round's next one, or releases the round's starts if
+    /// it was the last.
     fn on_round_parts_durable(&mut self, number: u64) {
         let leader = self.leadership.leader_mut();
         let Some(write) = leader.and_then(|leader| leader.rounds.writing.get_mut(&number)) else {
             return;
         };
         match write.on_parts_durable() {
-            true => self.start_round(number),
+            true => self.release_starts(number),
             false => self.send_round_transaction(number),
         }
     }
 
-    /// The round is durable: its starts go out with the responses to the next heartbeats.
-    fn start_round(&mut self, number: u64) {
+    /// Releases the starts of a durable round. They are sent with the responses to the machines' next
+    /// heartbeats, which are requested here.
+    fn release_starts(&mut self, number: u64) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
             return;
@@ -259,8 +266,8 @@
         }
     }
 
-    /// The round surely is not and will not be valid: nothing of it was sent. Parts that are
-    /// durable are removed.
+    /// Abandons a round that is not valid and can't become valid. None of its starts was sent, so
+    /// all are withdrawn; the records of its durable parts are removed.
     fn abandon_round(&mut self, number: u64) {
         let Some(leader) = self.leadership.leader_mut() else {
             return;
@@ -282,7 +289,7 @@
         }
     }
 
-    /// Removes the placement of a task that was never started; the task waits again.
+    /// Removes the placement of a task whose start was never sent, so that the task is pending again.
     fn withdraw_start(&mut self, task: &TaskId, attempt: u64) {
         let placement = self.jobs.placement(task);
         if placement.is_some_and(|placement| placement.attempt == attempt) {
