--- a/src/engine/rounds/maintenance.rs
+++ b/src/engine/rounds/maintenance.rs
@@ -16,7 +16,8 @@
         is_due
     }
 
-    /// Removes the rounds whose records are no longer needed, and returns the keys of those records.
+    /// Removes the rounds whose records are no longer needed, and returns the keys of those
+    /// records.
     pub(super) fn close_finished(&mut self, jobs: &Jobs) -> Vec<String> {
         let finished: Vec<u64> = self
             .open
@@ -58,8 +59,9 @@
     }
 
     /// Returns the tasks whose start was never sent and which are either overdue, because their
-    /// machine sends no heartbeat, or requested to stop. Such a start can be undone at once. A start
-    /// that was sent is kept until a heartbeat of its machine shows whether the task is there.
+    /// machine sends no heartbeat, or requested to stop. Such a start can be undone at once. A
+    /// start that was sent is kept until a heartbeat of its machine shows whether the task is
+    /// there.
     fn stalled_starts(&self) -> Vec<TaskId> {
         let now = self.context.now();
         let max_unsent_age =
--- a/src/engine/rounds/mod.rs
+++ b/src/engine/rounds/mod.rs
@@ -1,5 +1,5 @@
-//! Rounds: batches of task starts that are planned together and share one attempt number. A round is
-//! made durable by compare-and-swap before any of its starts is sent.
+//! Rounds: batches of task starts that are planned together and share one attempt number. A round
+//! is made durable by compare-and-swap before any of its starts is sent.
 //!
 //! A round that fits into one transaction is written in one. A larger round, which is always a
 //! single gang, is written in several transactions: all but the last write records that have no
@@ -79,7 +79,8 @@
 pub(super) struct Rounds {
     /// Durable rounds whose records are still needed.
     open: BTreeMap<u64, Round>,
-    /// Rounds being written: at most one that takes a single transaction and one that takes several.
+    /// Rounds being written: at most one that takes a single transaction and one that takes
+    /// several.
     writing: BTreeMap<u64, RoundWrite>,
     /// Number of rounds begun in this term.
     count: u64,
--- a/src/engine/rounds/orphans.rs
+++ b/src/engine/rounds/orphans.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Ends the search that began at `next_at`, all records having been read. Schedules another one if
-    /// a later transaction may still leave a record.
+    /// Ends the search that began at `next_at`, all records having been read. Schedules another one
+    /// if a later transaction may still leave a record.
     fn finish(&mut self) {
         let next_search_at = self.last_unanswered_at + constants::ORPHANED_ROUND_SEARCH_DELAY;
         let began_before = self.next_at.filter(|began| *began < next_search_at);
--- a/src/engine/rounds/write_state.rs
+++ b/src/engine/rounds/write_state.rs
@@ -1,4 +1,5 @@
-//! State of a round that is being written: the parts that are durable and those still to be written.
+//! State of a round that is being written: the parts that are durable and those still to be
+//! written.
 
 use super::{Round, RoundPart, StartGroup};
 use crate::engine::records::{self, LEADER_KEY, RoundRecord};
@@ -78,8 +79,8 @@
         transaction
     }
 
-    /// Reports whether the failed conditions show that an earlier attempt of the same transaction was
-    /// applied: the keys of its parts exist already.
+    /// Reports whether the failed conditions show that an earlier attempt of the same transaction
+    /// was applied: the keys of its parts exist already.
     pub(super) fn was_already_applied(&self, failed_keys: &[String]) -> bool {
         let parts = &self.round.parts[self.parts_in_flight()];
         parts.iter().any(|part| failed_keys.contains(&part.key))
--- a/src/engine/rounds/writing.rs
+++ b/src/engine/rounds/writing.rs
@@ -20,8 +20,8 @@
     Durable,
     /// Another node has become leader.
     LeadershipLost,
-    /// The round is not valid and can't become valid, because these keys have changed or, if there are
-    /// none, because the state service rejected the transaction.
+    /// The round is not valid and can't become valid, because these keys have changed or, if there
+    /// are none, because the state service rejected the transaction.
     Abandoned { changed_keys: Vec<String> },
     /// The outcome is unknown.
     Unknown,
@@ -42,8 +42,8 @@
         writes.map(|(number, _)| *number).collect()
     }
 
-    /// Classifies the result of a round's transaction. Returns `None` if the round is no longer being
-    /// written.
+    /// Classifies the result of a round's transaction. Returns `None` if the round is no longer
+    /// being written.
     fn outcome_of(
         &self,
         number: u64,
@@ -78,8 +78,8 @@
     }
 
     /// Schedules a retry of the transaction in flight, whose outcome is unknown, and a search for
-    /// orphaned records: the state service may still apply the transaction after the round's records
-    /// were removed.
+    /// orphaned records: the state service may still apply the transaction after the round's
+    /// records were removed.
     fn on_outcome_unknown(&mut self, number: u64, context: &mut Context) {
         if let Some(write) = self.writing.get_mut(&number) {
             write.retry.failed(context);
@@ -109,8 +109,8 @@
         self.send_round_transaction(number);
     }
 
-    /// Returns the number of the next round. If the term has no numbers left, steps down and returns
-    /// `None`.
+    /// Returns the number of the next round. If the term has no numbers left, steps down and
+    /// returns `None`.
     fn next_round_number(&mut self) -> Option<u64> {
         let leader = self.leadership.leader_mut()?;
         let term = leader.term();
@@ -198,8 +198,9 @@
         }
     }
 
-    /// Excludes the changed jobs from planning until the watch has delivered their changes. Otherwise
-    /// the next round could fail because of the same jobs, and with it the starts of other jobs.
+    /// Excludes the changed jobs from planning until the watch has delivered their changes.
+    /// Otherwise the next round could fail because of the same jobs, and with it the starts of
+    /// other jobs.
     fn back_off_changed_jobs(&mut self, changed_keys: &[String]) {
         let until = self.context.now() + constants::CHANGED_JOB_PAUSE;
         let ids = changed_keys.iter();
@@ -223,8 +224,8 @@
         }
     }
 
-    /// Releases the starts of a durable round. They are sent with the responses to the machines' next
-    /// heartbeats, which are requested here.
+    /// Releases the starts of a durable round. They are sent with the responses to the machines'
+    /// next heartbeats, which are requested here.
     fn release_starts(&mut self, number: u64) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -289,7 +290,8 @@
         }
     }
 
-    /// Removes the placement of a task whose start was never sent, so that the task is pending again.
+    /// Removes the placement of a task whose start was never sent, so that the task is pending
+    /// again.
     fn withdraw_start(&mut self, task: &TaskId, attempt: u64) {
         let placement = self.jobs.placement(task);
         if placement.is_some_and(|placement| placement.attempt == attempt) {
