--- a/src/engine/blocked_job_queries.rs
+++ b/src/engine/blocked_job_queries.rs
@@ -1,21 +1,22 @@
-//! Users' questions about blocked jobs, which are answered by news from the state service that is
-//! newer than the question.
+//! Users' queries about blocked jobs. A query is answered only after a refresh of the live records
+//! that began after the query arrived, so that the answer is not older than the query.
 
 use super::messages::{Reply, ReplyId};
 use crate::constants;
 use crate::model::{JobId, Timestamp};
 
-/// A question that waits for newer news.
+/// A query that waits for a refresh of the live records.
 #[derive(Debug)]
 struct PendingQuery {
     job: JobId,
     reply: ReplyId,
-    asked_at: Timestamp,
-    /// Refreshes that were begun before it; the next one makes it answerable.
+    received_at: Timestamp,
+    /// Number of refreshes that began before the query; the next one after them makes it
+    /// answerable.
     earlier_refreshes: u64,
 }
 
-/// The questions that wait, and the refreshes that make them answerable.
+/// The pending queries, and the refreshes that make them answerable.
 #[derive(Debug, Default)]
 pub(super) struct BlockedJobQueries {
     pending: Vec<PendingQuery>,
@@ -24,19 +25,19 @@
     next_refresh_at: Timestamp,
 }
 
-/// Which questions are given up if they can't be answered.
+/// Which queries are given up, and answered with [`Reply::Unavailable`], if they can't be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum GiveUp {
-    /// None.
+    /// No query.
     Never,
-    /// Those that have waited for too long.
+    /// Queries older than the maximum query age.
     Expired,
-    /// All.
+    /// All queries.
     Always,
 }
 
 impl BlockedJobQueries {
-    /// Adds a question; false if there are too many.
+    /// Adds a query. Returns false if too many queries are pending.
     pub(super) fn add(&mut self, job: JobId, reply: ReplyId, now: Timestamp) -> bool {
         if self.pending.len() >= constants::MAX_USER_CALLS {
             return false;
@@ -44,36 +45,38 @@
         self.pending.push(PendingQuery {
             job,
             reply,
-            asked_at: now,
+            received_at: now,
             earlier_refreshes: self.completed_refreshes + u64::from(self.refresh_in_flight),
         });
         true
     }
 
-    /// Whether a refresh is to be begun now.
+    /// Reports whether a refresh is to be begun now.
     pub(super) fn needs_refresh(&self, now: Timestamp) -> bool {
-        let waits = |query: &PendingQuery| !self.is_fresh(query);
-        self.pending.iter().any(waits) && !self.refresh_in_flight && now >= self.next_refresh_at
+        let needs_refresh = |query: &PendingQuery| !self.is_answerable(query);
+        self.pending.iter().any(needs_refresh)
+            && !self.refresh_in_flight
+            && now >= self.next_refresh_at
     }
 
-    /// A refresh is begun.
+    /// Marks a refresh as begun at `now`.
     pub(super) fn begin_refresh(&mut self, now: Timestamp) {
         self.refresh_in_flight = true;
         self.next_refresh_at = now + constants::REFRESH_INTERVAL;
     }
 
-    /// The refresh in flight has ended.
+    /// Marks the refresh in flight as ended, whether it succeeded or not.
     pub(super) fn end_refresh(&mut self) {
         self.refresh_in_flight = false;
     }
 
-    /// The refresh brought news: questions from before it can be answered.
+    /// Counts a successful refresh: queries that arrived before it began can be answered.
     pub(super) fn complete_refresh(&mut self) {
         self.completed_refreshes += 1;
     }
 
-    /// Replies to the questions that can be answered or are given up. `answer` tells what is known
-    /// of a job by now, if anything.
+    /// Removes the queries that can be answered or are given up, and returns the replies to them.
+    /// `answer` returns the reply about a job, or `None` if the job's state is not known.
     pub(super) fn take_replies(
         &mut self,
         answer: impl Fn(&JobId) -> Option<Reply>,
@@ -82,9 +85,9 @@
     ) -> Vec<(ReplyId, Reply)> {
         let mut replies = Vec::new();
         for query in std::mem::take(&mut self.pending) {
-            let fresh = self.is_fresh(&query);
-            let known = if fresh { answer(&query.job) } else { None };
-            match known {
+            let answerable = self.is_answerable(&query);
+            let reply = if answerable { answer(&query.job) } else { None };
+            match reply {
                 Some(reply) => replies.push((query.reply, reply)),
                 None if query.is_given_up(give_up, now) => {
                     replies.push((query.reply, Reply::Unavailable));
@@ -95,8 +98,8 @@
         replies
     }
 
-    /// Whether a refresh that was begun after the question has completed.
-    fn is_fresh(&self, query: &PendingQuery) -> bool {
+    /// Reports whether a refresh that began after the query has completed.
+    fn is_answerable(&self, query: &PendingQuery) -> bool {
         query.earlier_refreshes < self.completed_refreshes
     }
 }
@@ -105,7 +108,7 @@
     fn is_given_up(&self, give_up: GiveUp, now: Timestamp) -> bool {
         match give_up {
             GiveUp::Never => false,
-            GiveUp::Expired => now > self.asked_at + constants::MAX_QUERY_AGE,
+            GiveUp::Expired => now > self.received_at + constants::MAX_QUERY_AGE,
             GiveUp::Always => true,
         }
     }
--- a/src/engine/blocked_job_queries/tests.rs
+++ b/src/engine/blocked_job_queries/tests.rs
@@ -1,44 +1,48 @@
 use super::*;
 use crate::engine::test_support::instant;
 
-const QUEUED: fn(&JobId) -> Option<Reply> = |_| Some(Reply::BlockedJobState(None));
+const NOT_BLOCKED: fn(&JobId) -> Option<Reply> = |_| Some(Reply::BlockedJobState(None));
 
 #[test]
-fn a_question_is_answered_by_a_refresh_that_began_after_it() {
+fn query_is_answered_only_by_refresh_that_began_after_it() {
     let mut queries = BlockedJobQueries::default();
     assert!(queries.add("run-1".into(), 1, instant(0)));
     assert!(queries.needs_refresh(instant(0)));
     queries.begin_refresh(instant(0));
-    // This one came too late for the refresh in flight.
+    // The second query arrives after the refresh in flight began, which therefore does not answer
+    // it.
     assert!(queries.add("run-2".into(), 2, instant(1)));
     queries.end_refresh();
     queries.complete_refresh();
-    let replies = queries.take_replies(QUEUED, GiveUp::Never, instant(2));
+    let replies = queries.take_replies(NOT_BLOCKED, GiveUp::Never, instant(2));
     assert_eq!(replies, [(1, Reply::BlockedJobState(None))]);
-    assert!(!queries.needs_refresh(instant(2)), "refreshes are spaced");
+    assert!(
+        !queries.needs_refresh(instant(2)),
+        "the refresh interval has not passed"
+    );
     assert!(queries.needs_refresh(instant(0) + constants::REFRESH_INTERVAL));
 }
 
 #[test]
-fn questions_that_can_not_be_answered_are_given_up() {
+fn unanswerable_queries_are_given_up_when_expired_or_always() {
     let mut queries = BlockedJobQueries::default();
     assert!(queries.add("run-1".into(), 1, instant(0)));
-    let just_in_time = instant(0) + constants::MAX_QUERY_AGE;
+    let expires_at = instant(0) + constants::MAX_QUERY_AGE;
     assert!(
         queries
-            .take_replies(QUEUED, GiveUp::Expired, just_in_time)
+            .take_replies(NOT_BLOCKED, GiveUp::Expired, expires_at)
             .is_empty()
     );
-    let too_late = just_in_time + std::time::Duration::from_millis(1);
-    let replies = queries.take_replies(QUEUED, GiveUp::Expired, too_late);
+    let after_expiry = expires_at + std::time::Duration::from_millis(1);
+    let replies = queries.take_replies(NOT_BLOCKED, GiveUp::Expired, after_expiry);
     assert_eq!(replies, [(1, Reply::Unavailable)]);
     assert!(queries.add("run-2".into(), 2, instant(0)));
-    let replies = queries.take_replies(QUEUED, GiveUp::Always, instant(0));
+    let replies = queries.take_replies(NOT_BLOCKED, GiveUp::Always, instant(0));
     assert_eq!(replies, [(2, Reply::Unavailable)]);
 }
 
 #[test]
-fn questions_are_bounded() {
+fn query_beyond_the_limit_is_refused() {
     let mut queries = BlockedJobQueries::default();
     for reply in 0..constants::MAX_USER_CALLS as u64 {
         assert!(queries.add("run-1".into(), reply, instant(0)));
--- a/src/engine/completion_steps.rs
+++ b/src/engine/completion_steps.rs
@@ -1,4 +1,4 @@
-//! Writes what has completed, and applies what is durable.
+//! Sends the transactions that write completions, and applies their outcome to the engine's state.
 
 use super::Engine;
 use super::completions::{CompletionBatch, CompletionSources, WrittenProgress};
@@ -10,7 +10,7 @@
 use crate::wire::user::JobState;
 
 impl Engine {
-    /// Writes one transaction of completions, if there is something to write.
+    /// Sends the next transaction of completions, if one is due.
     pub(super) fn write_completions_when_due(&mut self) {
         let Some(leader) = self.leadership.leader_mut() else {
             return;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The outcome of such a transaction.
+    /// Handles the outcome of a transaction of completions.
     pub(super) fn on_completions_written(
         &mut self,
         batch: CompletionBatch,
@@ -44,7 +44,7 @@
             Err(StoreError::Malformed(error)) => {
                 tracing::error!(%error, "completions rejected");
             }
-            // A write without a response was carried out after all.
+            // An earlier write that got no response was applied after all.
             Err(StoreError::Conflict(failed)) => self.read_progress_records(failed),
             _ => {}
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Reads the progress records among these keys: their versions are not known any more.
+    /// Reads the progress records among these keys again, since their known versions are outdated.
     fn read_progress_records(&mut self, keys: Vec<String>) {
         for key in keys {
             if key.starts_with(PROGRESS_PREFIX) {
@@ -74,7 +74,7 @@
             self.on_progress_durable(progress, revision);
         }
         for finished in batch.finished {
-            self.on_end_durable(&finished.job);
+            self.on_job_end_durable(&finished.job);
             if let Some(leader) = self.leadership.leader_mut() {
                 for key in finished.progress_keys {
                     leader.completions.add_removal(key);
@@ -94,22 +94,23 @@
         }
     }
 
-    /// A progress record was read: its version is known again.
+    /// Handles the result of reading a progress record, and stores the record's version.
     pub(super) fn on_progress_record_read(
         &mut self,
         key: &str,
         result: Result<StoreReply, StoreError>,
     ) {
         let job = records::parse_progress_key(key).and_then(|(id, _)| self.jobs.get_mut(&id));
-        // Unread, it fails the next write as well and is read again.
+        // If the read failed, the next write of the record conflicts too and the record is read
+        // again.
         if let (Ok(StoreReply::Item(item)), Some(job)) = (result, job) {
             let version = item.map_or(0, |item| item.version);
             job.progress_records.insert(key.to_owned(), version);
         }
     }
 
-    /// The end of a job is durable.
-    fn on_end_durable(&mut self, id: &JobId) {
+    /// Applies the durable end of a job, and removes the job if no task of it is left on a machine.
+    fn on_job_end_durable(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -119,7 +120,8 @@
                 JobState::Done
             }
             JobPhase::Cancelled => JobState::Cancelled,
-            // What was written is not known any more: the final record tells.
+            // The job is open again, so the end that was written is no longer known here. The job's
+            // final record holds it.
             JobPhase::Open => return,
         };
         self.dependencies.record_final_state(id, state);
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -1,6 +1,6 @@
-//! What has to be written of completed and cancelled work: ends of jobs, progress of arrays, jobs
-//! that are not blocked any more, and the removal of records that nobody needs. Batched, one
-//! transaction at a time.
+//! Queue of the changes to be written for completed and cancelled work: ends of jobs, progress of
+//! arrays, jobs that are no longer blocked, and removals of records that are no longer needed. The
+//! changes are written in batches, one transaction at a time.
 
 use super::context::Context;
 use super::dependencies::Dependencies;
@@ -14,22 +14,22 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// What waits to be written.
+/// The changes that wait to be written.
 #[derive(Debug, Default)]
 pub(super) struct Completions {
-    /// Jobs that are done, or cancelled and gone from all machines.
+    /// Jobs that are done, or cancelled without any task left on a machine.
     finished: BTreeSet<JobId>,
-    /// Arrays with completed tasks that are not durable.
+    /// Arrays with completed tasks that are not durable yet.
     progress: BTreeSet<JobId>,
-    /// Blocked jobs that may start, or are cancelled with a dependency.
+    /// Blocked jobs whose dependencies are all done, or that are cancelled because a dependency is.
     unblocked: BTreeSet<JobId>,
-    /// Keys of records that nobody needs.
+    /// Keys of records that are no longer needed.
     removals: VecDeque<String>,
     retry: Retry,
     next_progress_at: Timestamp,
 }
 
-/// What one transaction wrote.
+/// The changes that one transaction writes.
 #[derive(Debug, Default)]
 pub(super) struct CompletionBatch {
     pub(super) finished: Vec<FinishedJob>,
@@ -38,35 +38,35 @@
     removals: Vec<String>,
 }
 
-/// A job whose end was written.
+/// A job whose end is written by a transaction.
 #[derive(Debug)]
 pub(super) struct FinishedJob {
     pub(super) job: JobId,
-    /// Keys of its progress records, which nobody needs any more.
+    /// Keys of its progress records, which are no longer needed after the job's end.
     pub(super) progress_keys: Vec<String>,
 }
 
-/// Progress of an array that was written.
+/// Progress of an array that is written by a transaction.
 #[derive(Debug)]
 pub(super) struct WrittenProgress {
     pub(super) job: JobId,
-    /// Completed tasks that are news.
+    /// Completed tasks that were not durable before.
     pub(super) tasks: Vec<u32>,
-    /// Keys of the records that cover them.
+    /// Keys of the progress records that cover these tasks.
     pub(super) keys: Vec<String>,
 }
 
-/// What a transaction of completions is made from.
+/// The state from which a transaction of completions is built.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CompletionSources<'a> {
     pub(super) jobs: &'a Jobs,
     pub(super) dependencies: &'a Dependencies,
     pub(super) context: &'a Context,
-    /// Version of the leader's key.
+    /// Version of the leader's key, a condition of the transaction.
     pub(super) leader_version: u64,
 }
 
-/// A transaction in the making, and what it writes.
+/// A transaction being built, and the changes that it writes.
 #[derive(Debug)]
 struct CompletionTransaction {
     transaction: Transaction,
@@ -75,27 +75,28 @@
 }
 
 impl Completions {
-    /// The job is done, or cancelled and gone from all machines.
+    /// Queues the end of a job that is done, or cancelled without any task left on a machine.
     pub(super) fn add_finished(&mut self, job: &JobId) {
         self.finished.insert(job.clone());
     }
 
-    /// A task of the job, which is not done, has completed.
+    /// Queues the progress of a job of which a task, but not the whole job, has completed.
     pub(super) fn add_progress(&mut self, job: &JobId) {
         self.progress.insert(job.clone());
     }
 
-    /// These blocked jobs may start, or are cancelled with a dependency.
+    /// Queues blocked jobs whose dependencies are all done, or that are cancelled because a
+    /// dependency is.
     pub(super) fn add_unblocked(&mut self, jobs: Vec<JobId>) {
         self.unblocked.extend(jobs);
     }
 
-    /// Nobody needs the record under that key any more.
+    /// Queues the removal of the record with this key, which is no longer needed.
     pub(super) fn add_removal(&mut self, key: String) {
         self.removals.push_back(key);
     }
 
-    /// Whether nothing waits to be written.
+    /// Reports whether no change waits to be written.
     fn is_empty(&self) -> bool {
         self.finished.is_empty()
             && self.progress.is_empty()
@@ -103,8 +104,11 @@
             && self.removals.is_empty()
     }
 
-    /// The next transaction, if there is something to write and none is in flight: ends of jobs
-    /// first, then jobs that are not blocked any more, and now and then progress and removals.
+    /// Begins the next transaction and returns it with the changes that it writes. Returns `None`
+    /// if there is nothing to write, a transaction is in flight, or a retry is not due yet.
+    ///
+    /// Ends of jobs come first, then jobs that are no longer blocked. Progress and removals are
+    /// added only once per progress interval.
     pub(super) fn next_transaction(
         &mut self,
         sources: CompletionSources<'_>,
@@ -148,12 +152,13 @@
             let Some(job) = sources.jobs.get(&id) else {
                 continue;
             };
-            if transaction.space() < constants::MUTATIONS_PER_FINISHED_JOB {
+            if transaction.remaining_mutations() < constants::MUTATIONS_PER_FINISHED_JOB {
                 self.finished.insert(id);
                 break;
             }
-            if transaction.add(|transaction| finish(transaction, &id, job)) {
-                // Named now: when the response comes, the watch may have removed the job already.
+            if transaction.add(|transaction| add_end_of(transaction, &id, job)) {
+                // The keys are collected now because the watch may remove the job before the
+                // response arrives.
                 let progress_keys = job.progress_records.keys().cloned().collect();
                 transaction.batch.finished.push(FinishedJob {
                     job: id,
@@ -169,7 +174,7 @@
         sources: CompletionSources<'_>,
     ) {
         let unix_time = sources.context.unix_time();
-        while transaction.space() >= constants::MUTATIONS_PER_FINISHED_JOB
+        while transaction.remaining_mutations() >= constants::MUTATIONS_PER_FINISHED_JOB
             && let Some(id) = self.unblocked.pop_first()
         {
             let dependencies = sources.dependencies;
@@ -179,7 +184,8 @@
         }
     }
 
-    /// Completed tasks of arrays that are not durable. What does not fit is written the next time.
+    /// Adds the completed tasks of arrays that are not durable yet. Tasks that do not fit stay
+    /// queued for a later transaction.
     fn write_progress(
         &mut self,
         transaction: &mut CompletionTransaction,
@@ -197,7 +203,7 @@
     }
 
     fn write_removals(&mut self, transaction: &mut CompletionTransaction) {
-        while transaction.space() > 0
+        while transaction.remaining_mutations() > 0
             && let Some(key) = self.removals.pop_front()
         {
             transaction.add(|transaction| transaction.delete(&key));
@@ -205,13 +211,13 @@
         }
     }
 
-    /// The transaction in flight is durable.
+    /// Handles the success of the transaction in flight: its changes are durable.
     pub(super) fn on_committed(&mut self, now: Timestamp) {
         self.retry.succeeded(now);
     }
 
-    /// The transaction in flight is not durable, or not known to be: everything in it is written
-    /// again.
+    /// Handles the failure of the transaction in flight, which was not applied or whose outcome is
+    /// unknown: all its changes are queued again.
     pub(super) fn on_failed(&mut self, batch: CompletionBatch, context: &mut Context) {
         self.retry.failed(context);
         let finished = batch.finished.into_iter();
@@ -223,20 +229,22 @@
     }
 }
 
-/// Time between two writes of progress and removals, where so many changes a second are allowed.
+/// Returns the minimum time between two writes of progress and removals for a state service that
+/// allows `changes_per_second` changes per second.
 fn progress_interval(changes_per_second: f64) -> Duration {
     let millis = (1000.0 * constants::PROGRESS_WRITE_INTERVAL_CHANGES / changes_per_second) as u64;
     constants::PROGRESS_WRITE_INTERVAL.max(Duration::from_millis(millis))
 }
 
-/// Adds a job's end to a transaction, if it has come to one.
-fn finish(transaction: Transaction, id: &JobId, job: &Job) -> Transaction {
+/// Adds a job's end to a transaction. Adds nothing if the job is open, its end is recorded already,
+/// or it is cancelled and still has tasks on machines.
+fn add_end_of(transaction: Transaction, id: &JobId, job: &Job) -> Transaction {
     match job.phase {
         JobPhase::Done { recorded: false } => {
             let tasks = u64::from(job.spec.tasks);
             records::add_job_end(transaction, &id.0, job.version, JobState::Done, tasks)
         }
-        // Its final record was written with the cancellation.
+        // The final record was written together with the cancellation.
         JobPhase::Cancelled if job.placements.is_empty() => {
             transaction.delete(records::job_key(&id.0))
         }
@@ -245,32 +253,42 @@
 }
 
 impl CompletionTransaction {
-    /// How many more mutations fit.
-    fn space(&self) -> usize {
+    /// Returns the number of further mutations that fit into the transaction.
+    fn remaining_mutations(&self) -> usize {
         self.max_mutations
             .saturating_sub(self.transaction.mutations.len())
     }
 
-    /// Adds what `write` puts into the transaction; whether that was anything.
-    fn add(&mut self, write: impl FnOnce(Transaction) -> Transaction) -> bool {
+    /// Adds mutations by calling `add_mutations`, and reports whether it added any.
+    fn add(&mut self, add_mutations: impl FnOnce(Transaction) -> Transaction) -> bool {
         let before = self.transaction.mutations.len();
-        self.transaction = write(std::mem::take(&mut self.transaction));
+        self.transaction = add_mutations(std::mem::take(&mut self.transaction));
         self.transaction.mutations.len() > before
     }
 
-    /// Adds the progress records that cover a job's completed tasks that are not durable; whether
-    /// all of them fit.
+    /// Adds the progress records that cover a job's completed tasks that are not durable yet, as
+    /// far as they fit. Reports whether all of them did.
     fn add_progress_of(&mut self, id: &JobId, job: &Job) -> bool {
-        let is_news = |index: &u32| !job.durable_completions.contains(*index);
+        let is_not_durable = |index: &u32| !job.durable_completions.contains(*index);
         let part_of = |index: u32| index / constants::PROGRESS_RECORD_TASKS;
-        let parts: BTreeSet<u32> = job.completed.iter().filter(is_news).map(part_of).collect();
-        let fitting: BTreeSet<u32> = parts.iter().take(self.space()).copied().collect();
+        let parts: BTreeSet<u32> = job
+            .completed
+            .iter()
+            .filter(is_not_durable)
+            .map(part_of)
+            .collect();
+        let fitting_parts: BTreeSet<u32> = parts
+            .iter()
+            .take(self.remaining_mutations())
+            .copied()
+            .collect();
         let mut keys = Vec::new();
-        for part in &fitting {
+        for part in &fitting_parts {
             let record = ProgressRecord {
                 done: job.completed.part_text(*part),
             };
-            // An older write that is carried out late must not undo this one.
+            // The version is compared so that an older write that is applied late can't overwrite
+            // this one.
             let key = records::progress_key(id, job.spec.tasks, *part);
             let version = job.progress_records.get(&key).copied().unwrap_or(0);
             self.add(|transaction| {
@@ -280,14 +298,14 @@
             });
             keys.push(key);
         }
-        let news = job.completed.iter().filter(is_news);
-        let news = news.filter(|index| fitting.contains(&part_of(*index)));
+        let new_tasks = job.completed.iter().filter(is_not_durable);
+        let new_tasks = new_tasks.filter(|index| fitting_parts.contains(&part_of(*index)));
         self.batch.progress.push(WrittenProgress {
             job: id.clone(),
-            tasks: news.collect(),
+            tasks: new_tasks.collect(),
             keys,
         });
-        fitting.len() == parts.len()
+        fitting_parts.len() == parts.len()
     }
 }
 
--- a/src/engine/dependencies.rs
+++ b/src/engine/dependencies.rs
@@ -1,11 +1,12 @@
-//! Jobs that wait for their dependencies. They are kept apart from those that may run, so that
-//! they hold nothing, preempt nobody and have nothing rented for them.
+//! Blocked jobs, which wait for their dependencies. They are kept apart from the jobs that may run,
+//! so that they hold no resources, preempt no tasks and cause no rentals.
 //!
-//! What a job depends on is in its own record. That all of it is done follows from final records,
-//! which never change; the leader then takes the names out of the record, on condition of its
-//! leadership and of the record's version, and only that makes the job one that a round may start.
-//! That a dependency is cancelled follows from the records of those that it depends on itself, at
-//! any node, with no second write.
+//! A job's record names its dependencies. Whether all of them are done follows from their final
+//! records, which never change. The leader then removes the names from the record, on condition
+//! that it still leads and that the record's version is unchanged; only this write allows a round
+//! to start the job. A blocked job counts as cancelled as soon as one of its dependencies is
+//! cancelled. Every node derives this from the records of the jobs that it depends on, directly or
+//! not, without a second write.
 
 use super::context::Context;
 use super::records::{self, JobRecord};
@@ -19,7 +20,7 @@
 use crate::wire::user::JobState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that waits for its dependencies.
+/// A job that waits for its dependencies, with its record as last seen.
 #[derive(Debug)]
 struct BlockedJob {
     record: JobRecord,
@@ -29,52 +30,52 @@
     state: DependencyState,
 }
 
-/// The blocked jobs, and what is known of the jobs that they depend on.
+/// The blocked jobs and the known states of the jobs that they depend on.
 #[derive(Debug, Default)]
 pub(super) struct Dependencies {
     blocked: BTreeMap<JobId, BlockedJob>,
-    /// Final states of jobs that blocked ones depend on, as written or read here.
+    /// Final states of jobs that blocked jobs depend on, as written or read by this node.
     final_states: BTreeMap<JobId, JobState>,
-    /// Reads of the final states that are not known.
+    /// Reads of final records of jobs whose state is unknown.
     final_record_reads: BTreeMap<JobId, Retry>,
     evaluation_requested: bool,
 }
 
-/// What follows from an evaluation of all blocked jobs.
+/// The result of evaluating all blocked jobs.
 #[derive(Debug)]
 pub(super) struct Evaluation {
-    /// Urgency that jobs inherit from blocked ones.
+    /// Urgency that jobs inherit from the blocked jobs that depend on them.
     pub(super) inherited: BTreeMap<JobId, InheritedUrgency>,
-    /// Blocked jobs that may start, or are cancelled with a dependency.
+    /// Blocked jobs whose dependencies are all done, or that are cancelled because a dependency is.
     pub(super) unblocked: Vec<JobId>,
 }
 
-/// A blocked job whose record was rewritten or replaced by a final one.
+/// The outcome for a job that is no longer blocked.
 #[derive(Debug)]
 pub(super) enum UnblockedJob {
-    /// Its dependencies are done: it may run, by this record.
+    /// All its dependencies are done: it may run, and this is its new record.
     Ready(Box<JobRecord>),
-    /// It is cancelled with a dependency.
+    /// It is cancelled because one of its dependencies is.
     Cancelled,
 }
 
 impl Dependencies {
-    /// Version of a blocked job's record.
+    /// Returns the version of a blocked job's record; `None` if the job is not blocked.
     pub(super) fn version(&self, id: &JobId) -> Option<u64> {
         self.blocked.get(id).map(|job| job.version)
     }
 
-    /// The blocked jobs.
+    /// Returns the ids of the blocked jobs.
     pub(super) fn blocked_ids(&self) -> impl Iterator<Item = &JobId> {
         self.blocked.keys()
     }
 
-    /// The state of a blocked job's dependencies; `None` if the job is not blocked.
+    /// Returns the state of a blocked job's dependencies; `None` if the job is not blocked.
     pub(super) fn state(&self, id: &JobId) -> Option<DependencyState> {
         self.blocked.get(id).map(|job| job.state)
     }
 
-    /// Adds a blocked job, or replaces its record.
+    /// Adds a blocked job, or replaces its record, and requests an evaluation.
     pub(super) fn insert(&mut self, id: JobId, record: JobRecord, version: u64) {
         let depends_on = record.job.depends_on.iter();
         let job = BlockedJob {
@@ -88,17 +89,17 @@
         self.evaluation_requested = true;
     }
 
-    /// The job is not blocked any more, or its record is gone.
+    /// Removes a job that is no longer blocked or whose record was deleted.
     pub(super) fn remove(&mut self, id: &JobId) {
         self.evaluation_requested |= self.blocked.remove(id).is_some();
     }
 
-    /// Something that blocked jobs may depend on has changed.
+    /// Requests an evaluation, because a job that blocked jobs may depend on has changed.
     pub(super) fn request_evaluation(&mut self) {
         self.evaluation_requested |= !self.blocked.is_empty();
     }
 
-    /// The final state of a job is durable.
+    /// Stores the durable final state of a job, if blocked jobs exist that may depend on it.
     pub(super) fn record_final_state(&mut self, id: &JobId, state: JobState) {
         if !self.blocked.is_empty() {
             self.final_states.insert(id.clone(), state);
@@ -106,24 +107,25 @@
         }
     }
 
-    /// What is known of a job that is not blocked: its final state, or what `known` tells.
+    /// Returns the state of a job that is not blocked: its final state if that is known, or else
+    /// the state that `live_state` returns.
     pub(super) fn upstream_state(
         &self,
         id: &JobId,
-        known: impl Fn(&JobId) -> UpstreamState,
+        live_state: impl Fn(&JobId) -> UpstreamState,
     ) -> UpstreamState {
         match self.final_states.get(id) {
             Some(JobState::Done) => UpstreamState::Done,
             Some(JobState::Cancelled) => UpstreamState::Cancelled,
-            _ => known(id),
+            _ => live_state(id),
         }
     }
 
-    /// Evaluates all blocked jobs, if something has changed since the last time. `known` tells what
-    /// is known of a job that is not blocked, apart from final states.
+    /// Evaluates all blocked jobs. Returns `None` if nothing has changed since the last evaluation.
+    /// `live_state` returns the state of a job that is not blocked, without regard to final states.
     pub(super) fn evaluate(
         &mut self,
-        known: impl Fn(&JobId) -> UpstreamState,
+        live_state: impl Fn(&JobId) -> UpstreamState,
     ) -> Option<Evaluation> {
         if !std::mem::take(&mut self.evaluation_requested) {
             return None;
@@ -133,13 +135,13 @@
             .iter()
             .map(|(id, job)| (id, &*job.depends_on))
             .collect();
-        let order = evaluate(&graph, |id| self.upstream_state(id, &known));
+        let order = evaluate(&graph, |id| self.upstream_state(id, &live_state));
         let inherited = inherit_urgency(&graph, &order, |id| self.own_urgency(id));
         let states: Vec<(JobId, DependencyState)> = order
             .into_iter()
             .map(|(id, state)| (id.clone(), state))
             .collect();
-        self.update_final_record_reads(&known);
+        self.update_final_record_reads(&live_state);
         let unblocked = self.update_states(states);
         Some(Evaluation {
             inherited,
@@ -155,9 +157,9 @@
         })
     }
 
-    /// Keeps the final states and the reads that blocked jobs still need, and adds reads of what is
-    /// not known.
-    fn update_final_record_reads(&mut self, known: impl Fn(&JobId) -> UpstreamState) {
+    /// Drops the final states and reads that no blocked job needs any more, and adds reads for the
+    /// dependencies whose state is unknown.
+    fn update_final_record_reads(&mut self, live_state: impl Fn(&JobId) -> UpstreamState) {
         let needed: BTreeSet<&JobId> = self
             .blocked
             .values()
@@ -165,7 +167,7 @@
             .collect();
         let is_unknown = |id: &&&JobId| {
             !self.blocked.contains_key(**id)
-                && self.upstream_state(id, &known) == UpstreamState::Unknown
+                && self.upstream_state(id, &live_state) == UpstreamState::Unknown
         };
         let unknown: BTreeSet<JobId> = needed
             .iter()
@@ -179,7 +181,8 @@
         }
     }
 
-    /// Sets the states; the jobs that are not blocked any more by them.
+    /// Stores the evaluated states, and returns the jobs whose dependencies are satisfied or
+    /// cancelled.
     fn update_states(&mut self, states: Vec<(JobId, DependencyState)>) -> Vec<JobId> {
         let mut unblocked = Vec::new();
         for (id, state) in states {
@@ -196,16 +199,18 @@
         unblocked
     }
 
-    /// Begins the reads of final records that are due, within their bound; the jobs to read.
+    /// Begins the reads of final records that are due, up to the limit of concurrent reads, and
+    /// returns the ids of the jobs to read.
     pub(super) fn begin_final_record_reads(&mut self, now: Timestamp) -> Vec<JobId> {
         let reads = self.final_record_reads.values();
         let in_flight = reads.filter(|read| read.is_in_flight()).count();
-        let free = constants::MAX_FINAL_RECORD_READS.saturating_sub(in_flight);
-        let due = self
+        let available_reads = constants::MAX_FINAL_RECORD_READS.saturating_sub(in_flight);
+        let due_reads = self
             .final_record_reads
             .iter_mut()
             .filter(|(_, read)| read.is_due(now));
-        due.take(free)
+        due_reads
+            .take(available_reads)
             .map(|(id, read)| {
                 read.begin();
                 id.clone()
@@ -213,7 +218,8 @@
             .collect()
     }
 
-    /// The final record of a job was read; `None` if it has none or the read failed.
+    /// Handles the result of reading a job's final record. `state` is `None` if the job has no
+    /// final record or the read failed; the read is then retried.
     pub(super) fn on_final_record_read(
         &mut self,
         id: &JobId,
@@ -225,14 +231,16 @@
                 self.final_record_reads.remove(id);
                 self.record_final_state(id, state);
             }
-            // Its live record is on its way here, or the state service can't be asked.
+            // Either the watch has not delivered the job's live record yet, or the state service is
+            // unreachable.
             (None, Some(read)) => read.failed(context),
             (None, None) => {}
         }
     }
 
-    /// Adds to a transaction what the state of a blocked job asks for: the record of a job that may
-    /// start, or the end of one that is cancelled with a dependency.
+    /// Adds to a transaction the write that unblocks a job: its record without dependencies if they
+    /// are satisfied, or its end if a dependency is cancelled. Adds nothing if the job is still
+    /// waiting or is not blocked.
     pub(super) fn add_unblocked_job(
         &self,
         id: &JobId,
@@ -259,7 +267,9 @@
         }
     }
 
-    /// What [`Dependencies::add_unblocked_job`] added is durable: the job is not blocked any more.
+    /// Removes a job from the blocked ones, because the write that
+    /// [`Dependencies::add_unblocked_job`] added is durable. Returns `None` if the job is not
+    /// blocked.
     pub(super) fn on_unblocked_job_written(
         &mut self,
         id: &JobId,
@@ -272,7 +282,8 @@
                 self.record_final_state(id, JobState::Cancelled);
                 Some(UnblockedJob::Cancelled)
             }
-            // Some ms after the time that was written: near enough for the order of jobs.
+            // This is a few ms later than the time in the stored record. The difference is too
+            // small to matter for the order of jobs.
             _ => Some(UnblockedJob::Ready(Box::new(job.record.ready(now)))),
         }
     }
--- a/src/engine/dependencies/tests.rs
+++ b/src/engine/dependencies/tests.rs
@@ -4,8 +4,8 @@
 
 const NOW: UnixTime = UnixTime::from_millis(5_000);
 
-/// Of two jobs the second depends on the first, and the first on `run-0`.
-fn chain() -> Dependencies {
+/// Returns two blocked jobs: `run-1` depends on `run-0`, and `run-2` on `run-1`.
+fn dependency_chain() -> Dependencies {
     let mut dependencies = Dependencies::default();
     for (id, depends_on) in [("run-1", "run-0"), ("run-2", "run-1")] {
         let record = JobRecord::new(dependent(id, &[depends_on]), NOW);
@@ -14,17 +14,17 @@
     dependencies
 }
 
-fn nothing_known(_: &JobId) -> UpstreamState {
+fn unknown_state(_: &JobId) -> UpstreamState {
     UpstreamState::Unknown
 }
 
 #[test]
-fn jobs_are_evaluated_when_something_has_changed() {
-    let mut dependencies = chain();
+fn evaluation_runs_only_after_a_change() {
+    let mut dependencies = dependency_chain();
     let evaluation = dependencies.evaluate(|_| UpstreamState::Open).unwrap();
     assert!(evaluation.unblocked.is_empty());
-    let urgency = evaluation.inherited.keys().map(|id| &*id.0);
-    assert_eq!(urgency.collect::<Vec<_>>(), ["run-0", "run-1"]);
+    let inheriting_ids = evaluation.inherited.keys().map(|id| &*id.0);
+    assert_eq!(inheriting_ids.collect::<Vec<_>>(), ["run-0", "run-1"]);
     assert!(dependencies.evaluate(|_| UpstreamState::Open).is_none());
     dependencies.request_evaluation();
     let evaluation = dependencies.evaluate(|_| UpstreamState::Done).unwrap();
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn final_states_that_are_not_known_are_read() {
-    let mut dependencies = chain();
+fn unknown_final_state_is_read_once_and_unblocks_the_dependent() {
+    let mut dependencies = dependency_chain();
     let mut context = context_at(0);
-    dependencies.evaluate(nothing_known).unwrap();
+    dependencies.evaluate(unknown_state).unwrap();
     let reads = dependencies.begin_final_record_reads(context.now());
     assert_eq!(reads, [JobId::from("run-0")]);
     assert!(
@@ -45,15 +45,15 @@
     );
     let done = Some(JobState::Done);
     dependencies.on_final_record_read(&reads[0], done, &mut context);
-    let evaluation = dependencies.evaluate(nothing_known).unwrap();
+    let evaluation = dependencies.evaluate(unknown_state).unwrap();
     assert_eq!(evaluation.unblocked, [JobId::from("run-1")]);
 }
 
 #[test]
-fn a_cancelled_dependency_cancels_all_that_depend_on_it() {
-    let mut dependencies = chain();
+fn cancelled_dependency_cancels_all_transitive_dependents() {
+    let mut dependencies = dependency_chain();
     dependencies.record_final_state(&"run-0".into(), JobState::Cancelled);
-    let evaluation = dependencies.evaluate(nothing_known).unwrap();
+    let evaluation = dependencies.evaluate(unknown_state).unwrap();
     assert_eq!(evaluation.unblocked.len(), 2);
     let id = JobId::from("run-2");
     assert_eq!(dependencies.state(&id), Some(DependencyState::Cancelled));
@@ -61,7 +61,7 @@
     assert_eq!(
         transaction.mutations.len(),
         2,
-        "a final record for a live one"
+        "the final record is put and the live one deleted"
     );
     let written = dependencies.on_unblocked_job_written(&id, NOW);
     assert!(matches!(written, Some(UnblockedJob::Cancelled)));
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn a_job_whose_dependencies_are_done_gets_a_record_without_them() {
-    let mut dependencies = chain();
+fn job_with_satisfied_dependencies_is_rewritten_without_them() {
+    let mut dependencies = dependency_chain();
     dependencies.evaluate(|_| UpstreamState::Done).unwrap();
     let id = JobId::from("run-1");
     let transaction = dependencies.add_unblocked_job(&id, NOW, Transaction::default());
@@ -86,8 +86,8 @@
 }
 
 #[test]
-fn a_job_that_waits_is_not_written() {
-    let mut dependencies = chain();
+fn waiting_job_adds_nothing_to_transaction() {
+    let mut dependencies = dependency_chain();
     dependencies.evaluate(|_| UpstreamState::Open).unwrap();
     let id = JobId::from("run-1");
     let transaction = dependencies.add_unblocked_job(&id, NOW, Transaction::default());
--- a/src/engine/dependency_steps.rs
+++ b/src/engine/dependency_steps.rs
@@ -1,4 +1,4 @@
-//! Evaluates the dependencies between jobs, and answers questions about them.
+//! Evaluates the dependencies between jobs, and answers queries about blocked and unknown jobs.
 
 use super::Engine;
 use super::blocked_job_queries::GiveUp;
@@ -13,7 +13,7 @@
 use crate::wire::user::JobState;
 use std::time::Duration;
 
-/// What the live records tell of a job that is not blocked.
+/// Returns the state of a job that is not blocked, as far as the live records show it.
 fn live_state(jobs: &Jobs, live: &LiveView, id: &JobId) -> UpstreamState {
     match jobs.get(id) {
         Some(job) if job.phase == JobPhase::Cancelled => UpstreamState::Cancelled,
@@ -24,8 +24,8 @@
 }
 
 impl Engine {
-    /// Evaluates the dependencies, reads what is not known of them, and refreshes what is known for
-    /// those who ask.
+    /// Evaluates the dependencies, requests the final records of dependencies whose state is
+    /// unknown, and refreshes the live records if queries about blocked jobs wait for that.
     pub(super) fn advance_dependencies(&mut self) {
         let now = self.context.now();
         self.evaluate_dependencies();
@@ -49,7 +49,7 @@
         self.answer_queries(GiveUp::Expired);
     }
 
-    /// Evaluates all blocked jobs, if something has changed.
+    /// Evaluates all blocked jobs if anything has changed, and applies the result.
     fn evaluate_dependencies(&mut self) {
         let live_state = |id: &JobId| live_state(&self.jobs, &self.live, id);
         let Some(evaluation) = self.dependencies.evaluate(live_state) else {
@@ -67,7 +67,7 @@
         leader.scheduling.request();
     }
 
-    /// A blocked job's record was rewritten, or replaced by a final one.
+    /// Handles the durable write that unblocked a job: admits the job if its dependencies are done.
     pub(super) fn on_unblocked_job_written(&mut self, id: &JobId, revision: u64) {
         let now = self.context.unix_time();
         match self.dependencies.on_unblocked_job_written(id, now) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The final record of a job that others depend on was read.
+    /// Handles the result of reading the final record of a job that blocked jobs depend on.
     pub(super) fn on_final_record_read(
         &mut self,
         job: &JobId,
@@ -91,14 +91,15 @@
             .on_final_record_read(job, state, &mut self.context);
     }
 
-    /// A user asks for the state of a blocked job.
+    /// Queues a user's query for the state of a blocked job. Replies [`Reply::Unavailable`] if too
+    /// many queries are pending.
     pub(super) fn on_blocked_job_query(&mut self, job: JobId, reply: ReplyId) {
         if !self.queries.add(job, reply, self.context.now()) {
             self.outbox.reply(reply, Reply::Unavailable);
         }
     }
 
-    /// Changes were read on behalf of those who ask.
+    /// Handles the result of a refresh of the live records that was begun for pending queries.
     pub(super) fn on_live_records_refreshed(
         &mut self,
         sent_at: Timestamp,
@@ -106,11 +107,11 @@
         result: Result<StoreReply, StoreError>,
     ) {
         self.queries.end_refresh();
-        // If the records are being listed again, or were, the changes may leave a gap after what
-        // is known.
-        let follows = self.live.knows_revision(after);
+        // If the records were listed again since, or are being listed, changes may be missing
+        // between the revision known here and these changes.
+        let is_contiguous = self.live.knows_revision(after);
         match result {
-            Ok(StoreReply::Changes(changes)) if follows => {
+            Ok(StoreReply::Changes(changes)) if is_contiguous => {
                 self.apply_changes(sent_at, changes);
                 self.queries.complete_refresh();
                 self.evaluate_dependencies();
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Replies with those of the jobs that are not known here to have been accepted.
+    /// Replies with those of the given jobs that this node does not know to have been accepted.
     pub(super) fn on_find_unknown_jobs(&mut self, jobs: Vec<JobId>, reply: ReplyId) {
         let live_state = |id: &JobId| live_state(&self.jobs, &self.live, id);
         let is_unknown = |id: &JobId| {
