--- a/src/engine/blocked_job_queries.rs
+++ b/src/engine/blocked_job_queries.rs
@@ -53,8 +53,8 @@
 
     /// Reports whether a refresh is to be begun now.
     pub(super) fn needs_refresh(&self, now: Timestamp) -> bool {
-        let needs_refresh = |query: &PendingQuery| !self.is_answerable(query);
-        self.pending.iter().any(needs_refresh)
+        let is_waiting = |query: &PendingQuery| !self.is_answerable(query);
+        self.pending.iter().any(is_waiting)
             && !self.refresh_in_flight
             && now >= self.next_refresh_at
     }
--- a/src/engine/records/fixture_tests.rs
+++ b/src/engine/records/fixture_tests.rs
@@ -197,7 +197,7 @@
 fn built_keys_match_fixtures() {
     let mut table = FixtureTable::open("records/keys.txt");
     let id = JobId::from("run-000412");
-    let large = 100_000;
+    let large_array_tasks = 100_000;
     for (name, key) in [
         ("live", LIVE_PREFIX.to_owned()),
         ("lead", LEADER_KEY.to_owned()),
@@ -216,7 +216,7 @@
             "work_smallest_large",
             progress_key(&id, PROGRESS_RECORD_TASKS + 1, 0),
         ),
-        ("work_part", progress_key(&id, large, 3)),
+        ("work_part", progress_key(&id, large_array_tasks, 3)),
         ("round", round_key(0x10_0001, 0)),
         ("round_part", round_key(0x10_0001, 12)),
         ("round_largest", round_key(u64::MAX, 0)),
--- a/src/engine/records/tests.rs
+++ b/src/engine/records/tests.rs
@@ -24,9 +24,9 @@
         parse_progress_key("work/run-7/2"),
         Some(("run-7".into(), 2 * LEGACY_PROGRESS_RECORD_TASKS))
     );
-    let large = 100_000;
+    let large_array_tasks = 100_000;
     assert_eq!(
-        parse_progress_key(&progress_key(&"run-7".into(), large, 3)),
+        parse_progress_key(&progress_key(&"run-7".into(), large_array_tasks, 3)),
         Some(("run-7".into(), 3 * PROGRESS_RECORD_TASKS))
     );
     assert!(from_value::<RoundRecord>(Value::from("x")).is_none());
@@ -163,19 +163,20 @@
 fn production_version_decodes_job_record_only_if_the_job_is_not_blocked() {
     let mut waiting = gang_record();
     waiting.job.depends_on = vec!["run-6".into()];
-    let as_production = |record: &JobRecord| from_value::<ProductionJobRecord>(job_value(record));
-    assert!(as_production(&waiting).is_none());
+    let decode_as_production =
+        |record: &JobRecord| from_value::<ProductionJobRecord>(job_value(record));
+    assert!(decode_as_production(&waiting).is_none());
     assert_eq!(parse_job_record(job_value(&waiting)), Some(waiting.clone()));
     let ready = waiting
         .clone()
         .ready(UnixTime::from_millis(1_700_000_000_500));
-    assert!(as_production(&ready).is_some_and(|record| !record.cancelled));
+    assert!(decode_as_production(&ready).is_some_and(|record| !record.cancelled));
     assert_eq!(
         parse_job_record(job_value(&ready)).unwrap().ready_at,
         ready.ready_at
     );
     let cancelled = waiting.cancelled();
-    assert!(as_production(&cancelled).is_some_and(|record| record.cancelled));
+    assert!(decode_as_production(&cancelled).is_some_and(|record| record.cancelled));
 }
 
 /// Returns the record of a job submitted 2 s after the start of the cluster that wrote the fixtures
@@ -212,9 +213,9 @@
     assert_round_trip(dependencies!("waiting_for_two"), &with_two_dependencies);
     let cancelled = job_record("run-9", JobKind::Array, 3, &["run-7"]).cancelled();
     assert_round_trip(dependencies!("waiting_cancelled"), &cancelled);
-    let ready_ms =
+    let ready_at =
         decode_stored::<JobRecord>(dependencies!("ready")).and_then(|record| record.ready_at);
-    let ready = waiting.ready(ready_ms.expect("time at which the job became ready"));
+    let ready = waiting.ready(ready_at.expect("time at which the job became ready"));
     assert_round_trip(dependencies!("ready"), &ready);
     assert!(!ready.is_blocked() && ready.ready_at > Some(ready.submitted_at));
     for (bytes, state, tasks) in [
--- a/src/engine/rounds/tests.rs
+++ b/src/engine/rounds/tests.rs
@@ -20,7 +20,7 @@
     (0..count).map(start).collect()
 }
 
-fn write_of(count: u32) -> RoundWrite {
+fn round_write(count: u32) -> RoundWrite {
     let versions = BTreeMap::from([(JobId::from("run-1"), 3)]);
     RoundWrite::new(1, &task_starts(count), versions, LIMITS)
 }
@@ -37,7 +37,7 @@
 
 #[test]
 fn round_is_durable_only_after_all_parts_are_durable() {
-    let mut write = write_of(3);
+    let mut write = round_write(3);
     assert!(write.needs_multiple_transactions());
     let first_transaction = write.transaction(40);
     assert_eq!(first_transaction.mutations.len(), 1);
@@ -65,9 +65,9 @@
 #[test]
 fn round_is_contained_while_being_written_or_open() {
     let mut rounds = Rounds::default();
-    rounds.writing.insert(1, write_of(2));
+    rounds.writing.insert(1, round_write(2));
     assert!(rounds.is_writing_single() && !rounds.is_writing_several());
-    rounds.writing.insert(2, write_of(3));
+    rounds.writing.insert(2, round_write(3));
     assert!(rounds.is_writing_several());
     let part = RoundPart {
         key: "rounds/3".into(),
