--- a/src/engine/rounds/writing.rs
+++ b/src/engine/rounds/writing.rs
@@ -165,7 +165,7 @@
     }
 
     /// Retries the round transactions whose outcome is unknown, once they are due.
-    pub(in crate::engine) fn repeat_round_writes(&mut self) {
+    pub(in crate::engine) fn retry_round_writes(&mut self) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader() else {
             return;
--- a/src/engine/scheduling.rs
+++ b/src/engine/scheduling.rs
@@ -10,7 +10,7 @@
 impl Engine {
     /// Plans a round if something has changed that may allow a placement.
     pub(super) fn schedule_when_due(&mut self) {
-        self.repeat_round_writes();
+        self.retry_round_writes();
         let now = self.context.now();
         let may_start = self.holds_valid_lease();
         let Some(leader) = self.leadership.leader_mut() else {
