--- a/src/engine/completions/tests.rs
+++ b/src/engine/completions/tests.rs
@@ -25,7 +25,9 @@
     completions.add_finished(&"run-1".into());
     let (transaction, batch) = next_transaction_for(&mut completions, &job, 0).unwrap();
     let compared = transaction.comparisons.iter();
-    let compared: Vec<_> = compared.map(|one| (&*one.key, one.version)).collect();
+    let compared: Vec<_> = compared
+        .map(|comparison| (&*comparison.key, comparison.version))
+        .collect();
     assert_eq!(compared, [(LEADER_KEY, 40), ("live/job/run-1", 1)]);
     assert_eq!(
         transaction.mutations.len(),
--- a/src/engine/rounds/tests.rs
+++ b/src/engine/rounds/tests.rs
@@ -44,7 +44,7 @@
     let compared = first_transaction
         .comparisons
         .iter()
-        .map(|one| (&*one.key, one.version));
+        .map(|comparison| (&*comparison.key, comparison.version));
     let compared: Vec<_> = compared.collect();
     let part = "rounds/0000000000000001";
     assert_eq!(
