--- a/src/engine/dependencies/tests.rs
+++ b/src/engine/dependencies/tests.rs
@@ -78,7 +78,7 @@
     let Mutation::Put { value, .. } = &transaction.mutations[0] else {
         panic!("{transaction:?}");
     };
-    let record = records::parse_job_record(value.clone()).unwrap();
+    let record = records::decode_job(value.clone()).unwrap();
     assert!(!record.is_blocked());
     assert_eq!(record.ready_at, Some(NOW));
     let written = dependencies.on_unblocked_job_written(&id, NOW);
--- a/src/engine/dependency_steps.rs
+++ b/src/engine/dependency_steps.rs
@@ -83,7 +83,7 @@
         result: Result<StoreReply, StoreError>,
     ) {
         let record = match result {
-            Ok(StoreReply::Item(Some(item))) => records::parse_final_record(item.value),
+            Ok(StoreReply::Item(Some(item))) => records::decode_final(item.value),
             _ => None,
         };
         let state = record.map(|record| record.state);
--- a/src/engine/live_records.rs
+++ b/src/engine/live_records.rs
@@ -140,7 +140,7 @@
         if known.is_some_and(|known| known >= version) {
             return;
         }
-        let Some(record) = records::parse_job_record(value) else {
+        let Some(record) = records::decode_job(value) else {
             if self.live.mark_unreadable(key) {
                 let consequence = "the job is left alone";
                 tracing::error!(key, consequence, "unreadable record");
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -44,8 +44,8 @@
 
 pub use messages::{CallId, Command, Effect, EngineStatus, Reply, ReplyId};
 pub use records::{
-    FinalRecord, JobRecord, final_key, final_value, job_key, job_value, json_size,
-    parse_final_record, parse_job_record,
+    FinalRecord, JobRecord, decode_final, decode_job, final_key, final_value, job_key, job_value,
+    json_size,
 };
 
 use crate::autoscaler::ArrivalHistory;
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -244,12 +244,12 @@
 }
 
 /// Decodes a job's record; `None` if the value does not have its form.
-pub fn parse_job_record(value: Value) -> Option<JobRecord> {
+pub fn decode_job(value: Value) -> Option<JobRecord> {
     from_value(value)
 }
 
 /// Decodes a final record; `None` if the value does not have its form.
-pub fn parse_final_record(value: Value) -> Option<FinalRecord> {
+pub fn decode_final(value: Value) -> Option<FinalRecord> {
     from_value(value)
 }
 
--- a/src/engine/records/fixture_tests.rs
+++ b/src/engine/records/fixture_tests.rs
@@ -121,7 +121,7 @@
         assert_round_trip(&mut table, name, &record);
         let written = wire::encode(&job_value(&record));
         assert_eq!(written, wire::encode(&to_value(&record)), "{name}");
-        assert_eq!(parse_job_record(job_value(&record)), Some(record), "{name}");
+        assert_eq!(decode_job(job_value(&record)), Some(record), "{name}");
     }
     // A record with neither `job` nor `step` is rejected.
     let neither = table.take_bytes("neither");
@@ -152,11 +152,7 @@
             tasks: 100_000,
         };
         assert_round_trip(&mut table, name, &record);
-        assert_eq!(
-            parse_final_record(final_value(&record)),
-            Some(record),
-            "{name}"
-        );
+        assert_eq!(decode_final(final_value(&record)), Some(record), "{name}");
     }
     let leader = LeaderRecord {
         node: "drone-1".into(),
--- a/src/engine/records/tests.rs
+++ b/src/engine/records/tests.rs
@@ -9,7 +9,7 @@
         job("run-7", JobKind::Gang, 2),
         UnixTime::from_millis(1_700_000_000_000),
     );
-    assert_eq!(parse_job_record(job_value(&record)).unwrap(), record);
+    assert_eq!(decode_job(job_value(&record)).unwrap(), record);
     let round = RoundRecord {
         starts: vec![StartRecord {
             job: "run-7".into(),
@@ -166,13 +166,13 @@
     let decode_as_production =
         |record: &JobRecord| from_value::<ProductionJobRecord>(job_value(record));
     assert!(decode_as_production(&waiting).is_none());
-    assert_eq!(parse_job_record(job_value(&waiting)), Some(waiting.clone()));
+    assert_eq!(decode_job(job_value(&waiting)), Some(waiting.clone()));
     let ready = waiting
         .clone()
         .ready(UnixTime::from_millis(1_700_000_000_500));
     assert!(decode_as_production(&ready).is_some_and(|record| !record.cancelled));
     assert_eq!(
-        parse_job_record(job_value(&ready)).unwrap().ready_at,
+        decode_job(job_value(&ready)).unwrap().ready_at,
         ready.ready_at
     );
     let cancelled = waiting.cancelled();
--- a/src/engine/tests/simulated_cluster/inspection.rs
+++ b/src/engine/tests/simulated_cluster/inspection.rs
@@ -15,7 +15,7 @@
 impl SimulatedCluster {
     /// A job's live record.
     pub(crate) fn live_record(&self, id: &str) -> Option<JobRecord> {
-        records::parse_job_record(self.store.value(&records::job_key(id))?.clone())
+        records::decode_job(self.store.value(&records::job_key(id))?.clone())
     }
 
     /// Whether a job has a live record: a user can still cancel it.
@@ -26,7 +26,7 @@
     /// The state in a job's final record.
     pub(crate) fn final_state(&self, id: &str) -> Option<JobState> {
         let value = self.store.value(&records::final_key(id))?;
-        Some(records::parse_final_record(value.clone())?.state)
+        Some(records::decode_final(value.clone())?.state)
     }
 
     /// Whether a job has completed.
--- a/src/engine/tests/simulated_cluster/invariants.rs
+++ b/src/engine/tests/simulated_cluster/invariants.rs
@@ -93,7 +93,7 @@
     }
 
     fn check_final_record(&mut self, job: &str, value: &rmpv::Value) {
-        let state = records::parse_final_record(value.clone()).map(|record| record.state);
+        let state = records::decode_final(value.clone()).map(|record| record.state);
         let earlier = self.final_state(job);
         if earlier.is_some() && earlier != state {
             self.record_violation(&format!("{job} goes from {earlier:?} to {state:?}"));
--- a/src/engine/tests/stored_records.rs
+++ b/src/engine/tests/stored_records.rs
@@ -35,7 +35,7 @@
 
 /// Writes a job's record, and makes the job known to the cluster's invariants.
 fn put_job(cluster: &mut SimulatedCluster, record: Value) {
-    let job = records::parse_job_record(record.clone()).unwrap().job;
+    let job = records::decode_job(record.clone()).unwrap().job;
     cluster.put_record(&records::job_key(&job.id), record);
     cluster.jobs.insert(job.id.clone(), job);
 }
