--- a/src/engine/scheduling.rs
+++ b/src/engine/scheduling.rs
@@ -13,7 +13,7 @@
     /// placement. Does not run it without a valid lease, or while a round that takes a single
     /// transaction is being written.
     pub(super) fn schedule_when_due(&mut self) {
-        self.repeat_round_writes();
+        self.retry_round_writes();
         let now = self.context.now();
         let has_valid_lease = self.holds_valid_lease();
         let Some(leader) = self.leadership.leader_mut() else {
