--- a/src/api/handlers.rs
+++ b/src/api/handlers.rs
@@ -23,7 +23,7 @@
 
 /// A user's question about a job.
 pub(super) async fn poll(State(api): State<Arc<Api>>, Path(id): Path<String>) -> HttpResponse {
-    if !user::is_valid_id(&id) {
+    if !user::is_valid_job_id(&id) {
         return job_not_found();
     }
     api.serve_within_limits(api.poll(&id)).await
@@ -31,7 +31,7 @@
 
 /// A user's cancellation of a job.
 pub(super) async fn cancel(State(api): State<Arc<Api>>, Path(id): Path<String>) -> HttpResponse {
-    if !user::is_valid_id(&id) {
+    if !user::is_valid_job_id(&id) {
         return job_not_found();
     }
     api.serve_within_limits(api.cancel(&id)).await
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -91,7 +91,7 @@
             id: String,
         }
         if let Ok(SubmissionId { id }) = decode(body)
-            && user::is_valid_id(&id)
+            && user::is_valid_job_id(&id)
         {
             match self.look_up(&id).await? {
                 StoredJob::Unknown => {}
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -67,7 +67,7 @@
     /// Price of a machine per hour; `None` if its type is not known.
     pub(super) fn price_of(&self, snapshot: &MachineSnapshot) -> Option<f64> {
         let machine_type = self.types.get(&snapshot.machine_type)?;
-        Some(machine_type.price_of(snapshot.spot))
+        Some(machine_type.hourly_price(snapshot.spot))
     }
 
     /// A new machine of the offer on which one task of the job costs least, given the job's placed
@@ -104,7 +104,7 @@
         Some(PricedOffer {
             offer,
             machine_type,
-            task_price: machine_type.price_of(offer.spot) * task_permille as f64,
+            task_price: machine_type.hourly_price(offer.spot) * task_permille as f64,
         })
     }
 }
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -268,7 +268,7 @@
         let mut keys = Vec::new();
         for part in &fitting {
             let record = ProgressRecord {
-                done: job.completed.part_text(*part),
+                done: job.completed.encode_part(*part),
             };
             // An older write that is carried out late must not undo this one.
             let key = records::progress_key(id, job.spec.tasks, *part);
--- a/src/engine/completions/tests.rs
+++ b/src/engine/completions/tests.rs
@@ -21,7 +21,7 @@
 fn the_end_of_a_job_is_written_on_condition_of_leadership_and_of_its_record() {
     let mut completions = Completions::default();
     let mut job = job(JobKind::Array, 1);
-    job.complete(0);
+    job.complete_task(0);
     completions.add_finished(&"run-1".into());
     let (transaction, batch) = write(&mut completions, &job, 0).unwrap();
     let compared = transaction.comparisons.iter();
@@ -42,7 +42,7 @@
 fn what_was_not_written_is_written_again() {
     let mut completions = Completions::default();
     let mut job = job(JobKind::Array, 2);
-    job.complete(0);
+    job.complete_task(0);
     completions.add_progress(&"run-1".into());
     completions.add_removal("rounds/1".into());
     let (transaction, batch) = write(&mut completions, &job, 0).unwrap();
@@ -58,13 +58,13 @@
 fn progress_is_written_now_and_then_and_ends_at_once() {
     let mut completions = Completions::default();
     let mut array = job(JobKind::Array, 2);
-    array.complete(0);
+    array.complete_task(0);
     completions.add_progress(&"run-1".into());
     assert!(write(&mut completions, &array, 0).is_some());
     completions.on_committed(context_at(0).now());
     completions.add_progress(&"run-1".into());
     assert!(write(&mut completions, &array, 100).is_none());
-    array.complete(1);
+    array.complete_task(1);
     completions.add_finished(&"run-1".into());
     assert!(write(&mut completions, &array, 100).is_some());
 }
--- a/src/engine/election.rs
+++ b/src/engine/election.rs
@@ -190,7 +190,7 @@
         };
         match result {
             Ok(_) => leader.lease.on_renewed(sent_at),
-            Err(StoreError::NoLease) => self.step_down(StepDownReason::LeaseExpired),
+            Err(StoreError::LeaseNotFound) => self.step_down(StepDownReason::LeaseExpired),
             Err(error) => {
                 tracing::debug!(%error, "lease renewal failed");
                 leader.lease.on_renewal_failed(now);
--- a/src/engine/heartbeats/exits.rs
+++ b/src/engine/heartbeats/exits.rs
@@ -57,8 +57,8 @@
         if let Some(other) = job.placements.get_mut(&id.index) {
             other.request_stop(0, now);
         }
-        let all_completed = job.complete(id.index);
-        let failed_on = std::mem::take(&mut job.failed_on);
+        let all_completed = job.complete_task(id.index);
+        let failed_on = std::mem::take(&mut job.failed_machines);
         if job.is_gang() && !job.placements.is_empty() {
             // They complete together; what does not is stopped.
             job.stop_all_tasks(0, now);
--- a/src/engine/heartbeats/failures.rs
+++ b/src/engine/heartbeats/failures.rs
@@ -11,7 +11,7 @@
     pub(super) fn on_task_failed(&mut self, machine: &MachineId, id: &JobId) {
         self.delay_restart(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.failed_on.insert(machine.clone());
+            job.failed_machines.insert(machine.clone());
         }
         tracing::info!(%machine, job = %id, "task failed");
         let leader = self.leadership.leader_mut();
--- a/src/engine/heartbeats/reconciliation.rs
+++ b/src/engine/heartbeats/reconciliation.rs
@@ -119,7 +119,7 @@
         };
         let machine_type = self.machine_types.get(&machine.machine_type);
         let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
-        machine.use_image(&job.spec.image, job.spec.image_gb, cache_gb);
+        machine.record_image_use(&job.spec.image, job.spec.image_gb, cache_gb);
     }
 
     /// Removes the placements of tasks that the machine's newest heartbeat does not name and that are
--- a/src/engine/jobs/tests.rs
+++ b/src/engine/jobs/tests.rs
@@ -26,7 +26,7 @@
 fn what_only_a_leader_knows_is_not_carried_into_the_next_term() {
     let mut job = job(JobKind::Array, 2);
     job.place(0, placement(PlacementStage::Planned));
-    job.complete(1);
+    job.complete_task(1);
     let mut jobs = jobs_with(job);
     jobs.forget_leader_state();
     let job = jobs.get(&"run-1".into()).unwrap();
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -250,7 +250,7 @@
         let reply = match self.jobs.get(job) {
             Some(job) if self.leadership.is_leading() => Reply::TaskCounts {
                 completed: job.completed.len(),
-                running: job.running(),
+                running: job.running_tasks(),
             },
             _ => Reply::Unavailable,
         };
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -197,7 +197,7 @@
 /// Completed tasks of a part of an array.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ProgressRecord {
-    /// Bitmap of the part as hexadecimal text, see [`crate::model::TaskSet::part_text`].
+    /// Bitmap of the part as hexadecimal text, see [`crate::model::TaskSet::encode_part`].
     pub done: String,
 }
 
--- a/src/engine/records/fixture_tests.rs
+++ b/src/engine/records/fixture_tests.rs
@@ -171,7 +171,7 @@
     done.remove(3);
     done.remove(PROGRESS_RECORD_TASKS + 64);
     for (name, part) in [("work", 0), ("work_part_1", 1), ("work_empty", 2)] {
-        let done = done.part_text(part);
+        let done = done.encode_part(part);
         both_ways(&mut table, name, &ProgressRecord { done });
     }
     table.finish();
--- a/src/engine/records/tests.rs
+++ b/src/engine/records/tests.rs
@@ -135,7 +135,8 @@
     ] {
         let (_, first) = parse_progress_key(key).unwrap();
         let record: ProgressRecord = stored(bytes).unwrap();
-        done.add_text(first, &record.done, 10_000).unwrap();
+        done.insert_encoded_part(first, &record.done, 10_000)
+            .unwrap();
     }
     let expected = [0, 5_000, LEGACY_PROGRESS_RECORD_TASKS + 70];
     assert_eq!(done.iter().collect::<Vec<_>>(), expected);
@@ -235,9 +236,10 @@
         assert_eq!(progress_key(&"run-1".into(), tasks, part), key);
         let (_, first) = parse_progress_key(key).unwrap();
         let record: ProgressRecord = stored(bytes).unwrap();
-        done.add_text(first, &record.done, tasks).unwrap();
+        done.insert_encoded_part(first, &record.done, tasks)
+            .unwrap();
         let again = ProgressRecord {
-            done: done.part_text(part),
+            done: done.encode_part(part),
         };
         reads_and_writes(bytes, &again);
     }
--- a/src/engine/recovery.rs
+++ b/src/engine/recovery.rs
@@ -187,11 +187,11 @@
             return Some(());
         };
         job.durable_completions
-            .add_text(first_task, &record.done, job.spec.tasks)?;
+            .insert_encoded_part(first_task, &record.done, job.spec.tasks)?;
         job.progress_records.insert(key.to_owned(), version);
         let completed: Vec<u32> = job.durable_completions.iter().collect();
         for index in completed {
-            job.complete(index);
+            job.complete_task(index);
         }
         Some(())
     }
--- a/src/engine/rounds/tests.rs
+++ b/src/engine/rounds/tests.rs
@@ -101,7 +101,7 @@
     assert!(rounds.close_finished(&jobs).is_empty());
     let job = jobs.get_mut(&"run-1".into()).unwrap();
     job.remove_placement(0);
-    job.complete(0);
+    job.complete_task(0);
     assert!(rounds.close_finished(&jobs).is_empty(), "not durable yet");
     let job = jobs.get_mut(&"run-1".into()).unwrap();
     job.durable_completions.insert(0);
--- a/src/engine/tests/replay/mirror.rs
+++ b/src/engine/tests/replay/mirror.rs
@@ -133,10 +133,10 @@
         Ok(StoreReply::LeaseUpdated) => Answer::Done,
         Ok(StoreReply::Changes(changes)) => Answer::Changes(body(changes)),
         Err(StoreError::Conflict(keys)) => Answer::Conflict(keys.clone()),
-        Err(StoreError::NoLease) => Answer::NoLease,
+        Err(StoreError::LeaseNotFound) => Answer::NoLease,
         Err(StoreError::Compacted) => Answer::TooOld,
         Err(StoreError::NotExecuted(reason)) => Answer::Refused(reason.to_string()),
-        Err(StoreError::Unknown(reason)) => Answer::Unknown(reason.to_string()),
+        Err(StoreError::UnknownOutcome(reason)) => Answer::Unknown(reason.to_string()),
         Err(StoreError::Malformed(reason)) => Answer::Bad(reason.to_string()),
     }
 }
@@ -153,10 +153,10 @@
         Answer::Done => Ok(StoreReply::LeaseUpdated),
         Answer::Changes(changes) => Ok(StoreReply::Changes(message(changes))),
         Answer::Conflict(keys) => Err(StoreError::Conflict(keys.clone())),
-        Answer::NoLease => Err(StoreError::NoLease),
+        Answer::NoLease => Err(StoreError::LeaseNotFound),
         Answer::TooOld => Err(StoreError::Compacted),
         Answer::Refused(reason) => Err(NotExecutedCause::from(reason.as_str()).into()),
-        Answer::Unknown(reason) => Err(StoreError::Unknown(reason.as_str().into())),
+        Answer::Unknown(reason) => Err(StoreError::UnknownOutcome(reason.as_str().into())),
         Answer::Bad(reason) => Err(StoreError::Malformed(reason.as_str().into())),
     }
 }
--- a/src/engine/tests/simulated_cluster/state_service/commits.rs
+++ b/src/engine/tests/simulated_cluster/state_service/commits.rs
@@ -78,7 +78,7 @@
         let result = self.commit(transaction);
         let commits = self.store.commits;
         if commits.is_multiple_of(self.faults.lose_commit_reply_every) {
-            return Err(StoreError::Unknown("lost".into()));
+            return Err(StoreError::UnknownOutcome("lost".into()));
         }
         result
     }
--- a/src/engine/tests/simulated_cluster/state_service/leases.rs
+++ b/src/engine/tests/simulated_cluster/state_service/leases.rs
@@ -21,7 +21,7 @@
     pub(super) fn keep_alive(&mut self, id: u64, now: Millis) -> Result<StoreReply, StoreError> {
         let lease = self.leases.get_mut(&id);
         let Some(lease) = lease.filter(|lease| lease.expires_at > now) else {
-            return Err(StoreError::NoLease);
+            return Err(StoreError::LeaseNotFound);
         };
         lease.expires_at = now + lease.ttl;
         Ok(StoreReply::LeaseUpdated)
--- a/src/engine/tests/simulated_cluster/state_service/mod.rs
+++ b/src/engine/tests/simulated_cluster/state_service/mod.rs
@@ -140,7 +140,7 @@
         self.store.commits += 1;
         self.schedule(delay, Event::LateCommit(transaction.clone()));
         let timeout = constants::STORE_TIMEOUT.as_millis() as Millis;
-        let result = Err(StoreError::Unknown("no answer".into()));
+        let result = Err(StoreError::UnknownOutcome("no answer".into()));
         self.complete_store_call(caller, result, timeout);
     }
 
--- a/src/engine/tests/simulated_cluster/state_service/watches.rs
+++ b/src/engine/tests/simulated_cluster/state_service/watches.rs
@@ -67,7 +67,7 @@
         let slack = constants::WATCH_SLACK.as_millis() as Millis;
         if self.now >= watch.until + slack {
             // The caller has given up.
-            return Some(Err(StoreError::Unknown("no answer".into())));
+            return Some(Err(StoreError::UnknownOutcome("no answer".into())));
         }
         let node = watch.caller.process.node;
         if self.faults.store_unavailable || self.faults.store_refuses.contains(&node) {
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -72,7 +72,7 @@
     /// No task starts before.
     pub backoff_until: Timestamp,
     /// Machines on which its tasks failed since one last completed.
-    pub failed_on: BTreeSet<MachineId>,
+    pub failed_machines: BTreeSet<MachineId>,
     /// When this node first knew of it.
     pub first_seen_at: Timestamp,
 }
@@ -101,7 +101,7 @@
             placements: BTreeMap::new(),
             consecutive_failures: 0,
             backoff_until: Timestamp::default(),
-            failed_on: BTreeSet::new(),
+            failed_machines: BTreeSet::new(),
             first_seen_at,
         }
     }
@@ -161,7 +161,7 @@
     }
 
     /// Records a task as completed; true if that completes the job.
-    pub fn complete(&mut self, index: u32) -> bool {
+    pub fn complete_task(&mut self, index: u32) -> bool {
         if index >= self.spec.tasks || self.spec.kind == JobKind::Service || !self.is_open() {
             return false;
         }
@@ -204,7 +204,7 @@
     }
 
     /// Number of tasks that run.
-    pub fn running(&self) -> u64 {
+    pub fn running_tasks(&self) -> u64 {
         self.placements
             .values()
             .filter(|placement| {
--- a/src/model/machine.rs
+++ b/src/model/machine.rs
@@ -183,7 +183,7 @@
     }
 
     /// Records that it has used an image, and evicts the least recently used ones beyond its cache.
-    pub fn use_image(&mut self, image: &Arc<str>, image_gb: f64, cache_gb: f64) {
+    pub fn record_image_use(&mut self, image: &Arc<str>, image_gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push_back((image.clone(), image_gb));
         let mut total_gb: f64 = self.images.iter().map(|(_, gb)| gb).sum();
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -229,7 +229,7 @@
     }
 
     /// Price per hour, of a spot instance or an ordinary machine.
-    pub fn price_of(&self, spot: bool) -> f64 {
+    pub fn hourly_price(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
 }
--- a/src/model/task_set.rs
+++ b/src/model/task_set.rs
@@ -83,7 +83,7 @@
     }
 
     /// That part of the members as hexadecimal text, for the durable record.
-    pub fn part_text(&self, part: u32) -> String {
+    pub fn encode_part(&self, part: u32) -> String {
         let words_per_part = (PROGRESS_RECORD_TASKS / BITS) as usize;
         let start = (part as usize * words_per_part).min(self.words.len());
         let end = (start + words_per_part).min(self.words.len());
@@ -94,9 +94,9 @@
         words.iter().map(|word| format!("{word:016x}")).collect()
     }
 
-    /// Adds what [`TaskSet::part_text`] gave, from the index `base` on; indices from `limit` on
+    /// Adds what [`TaskSet::encode_part`] gave, from the index `base` on; indices from `limit` on
     /// are left out. `None` if the text is not such a part.
-    pub fn add_text(&mut self, base: u32, text: &str, limit: u32) -> Option<()> {
+    pub fn insert_encoded_part(&mut self, base: u32, text: &str, limit: u32) -> Option<()> {
         let covered_tasks = text.len() as u32 * 4;
         if !text.is_ascii()
             || !text.len().is_multiple_of(WORD_DIGITS)
--- a/src/model/task_set/tests.rs
+++ b/src/model/task_set/tests.rs
@@ -16,8 +16,12 @@
     }
     let mut back = TaskSet::default();
     for part in 0..=99_999 / PROGRESS_RECORD_TASKS {
-        back.add_text(part * PROGRESS_RECORD_TASKS, &set.part_text(part), 100_000)
-            .unwrap();
+        back.insert_encoded_part(
+            part * PROGRESS_RECORD_TASKS,
+            &set.encode_part(part),
+            100_000,
+        )
+        .unwrap();
     }
     assert_eq!(
         set.iter().collect::<Vec<_>>(),
@@ -25,8 +29,8 @@
     );
     assert_eq!(back.len(), 6);
     assert!(back.remove(64) && !back.remove(64));
-    assert!(back.add_text(0, "zz", 10).is_none());
+    assert!(back.insert_encoded_part(0, "zz", 10).is_none());
     assert_eq!(TaskSet::full(100_000).len(), 100_000);
     assert_eq!(TaskSet::full(70).iter().count(), 70);
-    assert!(TaskSet::full(4096).part_text(0).len() <= 1024);
+    assert!(TaskSet::full(4096).encode_part(0).len() <= 1024);
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -76,7 +76,7 @@
             PeerError::Io(_) | PeerError::Timeout => {
                 tracing::debug!(%address, %error, "peer connection closed");
             }
-            PeerError::Length(_) | PeerError::Version(_) | PeerError::Decode(_) => {
+            PeerError::InvalidLength(_) | PeerError::VersionMismatch(_) | PeerError::Decode(_) => {
                 tracing::error!(%address, %error, "peer connection closed");
             }
         }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -19,10 +19,10 @@
     Io(#[from] std::io::Error),
     /// The frame is empty or longer than [`constants::MAX_PEER_FRAME_BYTES`].
     #[error("frame of {0} bytes")]
-    Length(usize),
+    InvalidLength(usize),
     /// The peer has another version.
     #[error("version {0}, expected {expected}", expected = constants::PEER_VERSION)]
-    Version(u8),
+    VersionMismatch(u8),
     /// The frame holds no message.
     #[error("undecodable frame: {0}")]
     Decode(#[from] postcard::Error),
@@ -40,13 +40,13 @@
 pub async fn read_frame(stream: &mut TcpStream) -> Result<Message, PeerError> {
     let length = stream.read_u32().await? as usize;
     if length == 0 || length > constants::MAX_PEER_FRAME_BYTES {
-        return Err(PeerError::Length(length));
+        return Err(PeerError::InvalidLength(length));
     }
     let mut frame = vec![0; length];
     stream.read_exact(&mut frame).await?;
     let version = frame[0];
     if version != constants::PEER_VERSION {
-        return Err(PeerError::Version(version));
+        return Err(PeerError::VersionMismatch(version));
     }
     Ok(postcard::from_bytes(&frame[VERSION_BYTES..])?)
 }
@@ -60,7 +60,7 @@
     let body = postcard::to_stdvec(message)?;
     let length = VERSION_BYTES + body.len();
     if length > constants::MAX_PEER_FRAME_BYTES {
-        return Err(PeerError::Length(length));
+        return Err(PeerError::InvalidLength(length));
     }
     let mut frame = Vec::with_capacity(LENGTH_BYTES + length);
     frame.extend_from_slice(&(length as u32).to_be_bytes());
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -25,7 +25,7 @@
         .unwrap();
     assert!(matches!(
         read_frame(&mut far).await,
-        Err(PeerError::Version(_))
+        Err(PeerError::VersionMismatch(_))
     ));
     near.write_all(&[0, 0, 0, 2, constants::PEER_VERSION, 99])
         .await
@@ -37,7 +37,7 @@
     near.write_all(&u32::MAX.to_be_bytes()).await.unwrap();
     assert!(matches!(
         read_frame(&mut far).await,
-        Err(PeerError::Length(_))
+        Err(PeerError::InvalidLength(_))
     ));
 }
 
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -11,7 +11,7 @@
     Conflict(Vec<String>),
     /// The lease has expired or was revoked.
     #[error("no such lease")]
-    NoLease,
+    LeaseNotFound,
     /// The watch asks for changes that are no longer kept, or for more than is read at once.
     #[error("changes no longer kept, or too many")]
     Compacted,
@@ -20,7 +20,7 @@
     NotExecuted(#[from] NotExecutedCause),
     /// No response: the call may have been executed, or may still be.
     #[error("no answer: {0}")]
-    Unknown(#[from] UnknownOutcomeCause),
+    UnknownOutcome(#[from] UnknownOutcomeCause),
     /// The service calls the request malformed, or what it sent does not fit the call.
     #[error("bad request or answer: {0}")]
     Malformed(#[from] MalformedCause),
--- a/src/store/response.rs
+++ b/src/store/response.rs
@@ -33,7 +33,7 @@
             Ok(StoreReply::LeaseUpdated)
         }
         (StoreCall::KeepAlive { .. } | StoreCall::RevokeLease { .. }, 404) => {
-            Err(StoreError::NoLease)
+            Err(StoreError::LeaseNotFound)
         }
         (StoreCall::Watch { .. }, 200) => Ok(StoreReply::Changes(body(response)?)),
         (StoreCall::Watch { .. }, 410) => Err(StoreError::Compacted),
--- a/src/store/response/tests.rs
+++ b/src/store/response/tests.rs
@@ -41,7 +41,7 @@
     };
     assert!(matches!(
         read(&keep_alive, &response(404, Vec::new())),
-        Err(StoreError::NoLease)
+        Err(StoreError::LeaseNotFound)
     ));
     assert!(matches!(
         read(&watch, &response(410, Vec::new())),
@@ -54,7 +54,7 @@
     let refused = read(&get(), &response(503, Vec::new())).unwrap_err();
     assert_eq!(refused.to_string(), "not executed: status 503");
     let unreadable = read(&get(), &response(200, vec![0])).unwrap_err();
-    assert!(matches!(unreadable, StoreError::Unknown(_)));
+    assert!(matches!(unreadable, StoreError::UnknownOutcome(_)));
     let malformed = read(&get(), &response(400, vec![b'x'; 200])).unwrap_err();
     let shown = "x".repeat(constants::MAX_SHOWN_CHARACTERS);
     assert_eq!(
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -2,7 +2,7 @@
 
 mod validation;
 
-pub use validation::{InvalidSubmission, MAX_DEPENDENCIES, MAX_TASKS, is_valid_id};
+pub use validation::{InvalidSubmission, MAX_DEPENDENCIES, MAX_TASKS, is_valid_job_id};
 
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::BTreeSet;
--- a/src/wire/user/validation.rs
+++ b/src/wire/user/validation.rs
@@ -56,7 +56,7 @@
     ///
     /// The first thing that is wrong.
     pub fn validate(&self) -> Result<(), InvalidSubmission> {
-        if !is_valid_id(&self.id) {
+        if !is_valid_job_id(&self.id) {
             return Err(InvalidSubmission::JobId);
         }
         self.validate_names()?;
@@ -111,7 +111,7 @@
         if zone.is_some_and(|zone| zone.len() > MAX_TEXT_BYTES) {
             return Err(InvalidSubmission::ZoneLength);
         }
-        let ids_are_valid = self.depends_on.iter().all(|id| is_valid_id(id));
+        let ids_are_valid = self.depends_on.iter().all(|id| is_valid_job_id(id));
         if self.depends_on.len() > MAX_DEPENDENCIES || !ids_are_valid {
             return Err(InvalidSubmission::Dependencies);
         }
@@ -120,7 +120,7 @@
 }
 
 /// Whether this is a job id as users form them: `run-` and digits.
-pub fn is_valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("run-").is_some_and(|digits| {
         !digits.is_empty()
             && digits.len() <= MAX_ID_DIGITS
