--- a/src/model/dependencies.rs
+++ b/src/model/dependencies.rs
@@ -1,46 +1,49 @@
-//! Dependencies between jobs (a DAG): which blocked jobs may start, and which are cancelled with a
-//! job that they depend on.
+//! Evaluates the dependency graph (a DAG) of jobs: which blocked jobs may start, and which are
+//! cancelled together with a job that they depend on.
 //!
-//! Pure: a function of the blocked jobs and of what is known of the jobs that they depend on.
+//! The functions are pure: their results depend only on the blocked jobs and on the known states of
+//! the jobs that these depend on.
 
 use super::{InheritedUrgency, JobId};
 use std::collections::BTreeMap;
 
-/// State of a blocked job's dependencies.
+/// Combined state of a blocked job's dependencies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DependencyState {
-    /// A dependency is not done yet.
+    /// At least one dependency is not done yet.
     Waiting,
     /// All dependencies are done.
     Satisfied,
-    /// A dependency, direct or through others, is cancelled, and the job with it.
+    /// A direct or transitive dependency is cancelled, so the job is cancelled too.
     Cancelled,
-    /// Nothing is known of a dependency.
+    /// The state of a dependency is not known.
     Unknown,
 }
 
-/// State of a job that others depend on and that is not blocked itself.
+/// State of a job that blocked jobs depend on and that is not itself blocked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamState {
-    /// Runs or waits for resources.
+    /// The job runs or waits for resources.
     Open,
-    /// All tasks have completed, durably.
+    /// All tasks have completed, and this is recorded durably.
     Done,
-    /// Cancelled, durably.
+    /// The job is cancelled, and this is recorded durably.
     Cancelled,
-    /// Nothing is known of it.
+    /// The state of the job is not known.
     Unknown,
 }
 
-/// The blocked jobs with their dependencies.
+/// The blocked jobs, each with the jobs that it directly depends on.
 pub type DependencyGraph<'a> = BTreeMap<&'a JobId, &'a [JobId]>;
 
-/// The blocked jobs in topological order (each after those that it depends on), each with the
-/// state of its dependencies. Jobs in a cycle, which no submission can make, are left out.
-/// `upstream` tells the state of jobs that are not blocked.
+/// Returns the blocked jobs in topological order (each job after the jobs that it depends on),
+/// each with the combined state of its dependencies.
+///
+/// `upstream_state` returns the state of a job that is not blocked. Jobs in a dependency cycle are
+/// left out; no sequence of submissions can create a cycle.
 pub fn evaluate<'a>(
     graph: &DependencyGraph<'a>,
-    upstream: impl Fn(&JobId) -> UpstreamState,
+    upstream_state: impl Fn(&JobId) -> UpstreamState,
 ) -> Vec<(&'a JobId, DependencyState)> {
     let mut remaining = RemainingDependencies::new(graph);
     let mut order = Vec::new();
@@ -52,9 +55,9 @@
                 Some(DependencyState::Cancelled) => UpstreamState::Cancelled,
                 Some(DependencyState::Unknown) => UpstreamState::Unknown,
                 Some(_) => UpstreamState::Open,
-                None => upstream(dependency),
+                None => upstream_state(dependency),
             });
-        let state = dependencies.fold(DependencyState::Satisfied, combine);
+        let state = dependencies.fold(DependencyState::Satisfied, combine_states);
         states.insert(id, state);
         order.push((id, state));
         remaining.release_dependents(id);
@@ -62,14 +65,14 @@
     order
 }
 
-/// Bookkeeping of a topological sort.
+/// Working state of the topological sort (Kahn's algorithm).
 struct RemainingDependencies<'a> {
-    /// Number of blocked dependencies that have not been visited, of each job that has any.
+    /// For each job with unvisited blocked dependencies, the number of these dependencies.
     counts: BTreeMap<&'a JobId, usize>,
-    /// Blocked jobs by the blocked jobs that they depend on.
+    /// For each blocked job, the blocked jobs that depend on it.
     dependents: BTreeMap<&'a JobId, Vec<&'a JobId>>,
-    /// Jobs whose dependencies have all been visited.
-    next: Vec<&'a JobId>,
+    /// Unvisited jobs whose blocked dependencies have all been visited.
+    ready: Vec<&'a JobId>,
 }
 
 impl<'a> RemainingDependencies<'a> {
@@ -77,7 +80,7 @@
         let mut remaining = RemainingDependencies {
             counts: BTreeMap::new(),
             dependents: BTreeMap::new(),
-            next: Vec::new(),
+            ready: Vec::new(),
         };
         for (id, dependencies) in graph {
             let blocked = dependencies.iter().filter(|id| graph.contains_key(id));
@@ -87,7 +90,7 @@
                 count += 1;
             }
             if count == 0 {
-                remaining.next.push(id);
+                remaining.ready.push(id);
             } else {
                 remaining.counts.insert(id, count);
             }
@@ -95,26 +98,29 @@
         remaining
     }
 
+    /// Removes and returns a job that is ready to be visited; `None` if there is none.
     fn next_job(&mut self) -> Option<&'a JobId> {
-        self.next.pop()
+        self.ready.pop()
     }
 
-    /// The job has been visited: those that waited for it alone come next.
+    /// Marks a job as visited, and makes the dependents that have no other unvisited dependency
+    /// ready to be visited.
     fn release_dependents(&mut self, id: &JobId) {
         for dependent in self.dependents.remove(id).into_iter().flatten() {
             if let Some(count) = self.counts.get_mut(dependent) {
                 *count -= 1;
                 if *count == 0 {
-                    self.next.push(dependent);
+                    self.ready.push(dependent);
                 }
             }
         }
     }
 }
 
-/// The state of a job's dependencies once one more of them is taken into account.
-fn combine(state: DependencyState, dependency: UpstreamState) -> DependencyState {
-    match (state, dependency) {
+/// Returns the combined state of a job's dependencies after one more dependency is taken into
+/// account.
+fn combine_states(combined: DependencyState, dependency: UpstreamState) -> DependencyState {
+    match (combined, dependency) {
         (DependencyState::Cancelled, _) | (_, UpstreamState::Cancelled) => {
             DependencyState::Cancelled
         }
@@ -124,8 +130,10 @@
     }
 }
 
-/// The urgency that each job inherits from the blocked jobs that depend on it, directly or through
-/// others. `order` is that of [`evaluate`].
+/// Returns the urgency that each job inherits from the blocked jobs that depend on it, directly or
+/// transitively.
+///
+/// `order` is the result of [`evaluate`] for the same graph. Cancelled jobs pass on no urgency.
 pub fn inherit_urgency(
     graph: &DependencyGraph<'_>,
     order: &[(&JobId, DependencyState)],
@@ -137,13 +145,13 @@
         let Some(own) = own else {
             continue;
         };
-        let passed_on = inherited
+        let inheritable = inherited
             .get(*id)
-            .map_or(own, |from| own.most_urgent(*from));
+            .map_or(own, |urgency| own.most_urgent(*urgency));
         for dependency in graph[*id] {
             let urgency = inherited
                 .get(dependency)
-                .map_or(passed_on, |from| passed_on.most_urgent(*from));
+                .map_or(inheritable, |present| inheritable.most_urgent(*present));
             inherited.insert(dependency.clone(), urgency);
         }
     }
--- a/src/model/dependencies/tests.rs
+++ b/src/model/dependencies/tests.rs
@@ -6,19 +6,24 @@
     JobId::from(&*format!("run-{n:03}"))
 }
 
-/// A pipeline of a hundred steps in a row, and one step that awaits all of them.
-fn chain() -> BTreeMap<JobId, Vec<JobId>> {
+/// Returns a pipeline of 100 jobs: each of the first 99 depends on its predecessor, and the last
+/// depends on all others and on the unblocked job 0.
+fn pipeline() -> BTreeMap<JobId, Vec<JobId>> {
     let mut jobs: BTreeMap<JobId, Vec<JobId>> =
         (1..100).map(|n| (id(n), vec![id(n - 1)])).collect();
     jobs.insert(id(100), (0..100).map(id).collect());
     jobs
 }
 
-fn evaluate_chain(
+/// Evaluates the jobs with `first` as the state of the only job that is not blocked.
+fn evaluate_pipeline(
     jobs: &BTreeMap<JobId, Vec<JobId>>,
     first: UpstreamState,
 ) -> BTreeMap<JobId, DependencyState> {
-    let graph: DependencyGraph<'_> = jobs.iter().map(|(id, on)| (id, on.as_slice())).collect();
+    let graph: DependencyGraph<'_> = jobs
+        .iter()
+        .map(|(id, dependencies)| (id, dependencies.as_slice()))
+        .collect();
     let order = evaluate(&graph, |_| first);
     order
         .into_iter()
@@ -27,38 +32,42 @@
 }
 
 #[test]
-fn the_state_of_the_first_dependency_decides_all_that_follow() {
-    let jobs = chain();
-    let all = |first| {
-        evaluate_chain(&jobs, first)
+fn state_of_the_first_job_determines_the_states_of_all_dependents() {
+    let jobs = pipeline();
+    let states_with = |first| {
+        evaluate_pipeline(&jobs, first)
             .into_values()
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        all(UpstreamState::Cancelled),
+        states_with(UpstreamState::Cancelled),
         vec![DependencyState::Cancelled; 100]
     );
     assert_eq!(
-        all(UpstreamState::Unknown),
+        states_with(UpstreamState::Unknown),
         vec![DependencyState::Unknown; 100]
     );
     assert_eq!(
-        all(UpstreamState::Open),
+        states_with(UpstreamState::Open),
         vec![DependencyState::Waiting; 100]
     );
-    let done = evaluate_chain(&jobs, UpstreamState::Done);
-    let ready = |n: usize| done[&id(n)] == DependencyState::Satisfied;
-    assert_eq!((1..=100).filter(|n| ready(*n)).collect::<Vec<_>>(), [1]);
+    let states = evaluate_pipeline(&jobs, UpstreamState::Done);
+    let is_satisfied = |n: usize| states[&id(n)] == DependencyState::Satisfied;
+    assert_eq!(
+        (1..=100).filter(|n| is_satisfied(*n)).collect::<Vec<_>>(),
+        [1]
+    );
 }
 
-/// What is not known must not count as done, nor hide that something else is cancelled.
+/// An unknown dependency must not count as done, and must not hide that another dependency is
+/// cancelled.
 #[test]
-fn the_worst_state_of_a_jobs_dependencies_decides() {
+fn worst_dependency_state_takes_precedence() {
     let jobs = BTreeMap::from([(id(9), (0..3).map(id).collect())]);
     let state_with = |states: [UpstreamState; 3]| {
         let graph: DependencyGraph<'_> = jobs
             .iter()
-            .map(|(id, on): (_, &Vec<_>)| (id, on.as_slice()))
+            .map(|(id, dependencies): (_, &Vec<_>)| (id, dependencies.as_slice()))
             .collect();
         let state_of = |upstream: &JobId| {
             let position = (0..3).find(|n| id(*n) == *upstream);
@@ -77,9 +86,12 @@
 }
 
 #[test]
-fn the_last_jobs_urgency_is_inherited_by_all_before_it() {
-    let jobs = chain();
-    let graph: DependencyGraph<'_> = jobs.iter().map(|(id, on)| (id, on.as_slice())).collect();
+fn urgency_of_the_last_job_is_inherited_by_all_its_dependencies() {
+    let jobs = pipeline();
+    let graph: DependencyGraph<'_> = jobs
+        .iter()
+        .map(|(id, dependencies)| (id, dependencies.as_slice()))
+        .collect();
     let order = evaluate(&graph, |_| UpstreamState::Open);
     let urgent = InheritedUrgency {
         priority: Priority::High,
@@ -89,8 +101,8 @@
         priority: Priority::Low,
         deadline: UnixTime::from_millis(2_000),
     };
-    let own = |job: &JobId| Some(if *job == id(100) { urgent } else { relaxed });
-    let inherited = inherit_urgency(&graph, &order, own);
+    let own_urgency = |job: &JobId| Some(if *job == id(100) { urgent } else { relaxed });
+    let inherited = inherit_urgency(&graph, &order, own_urgency);
     assert_eq!(inherited.len(), 100);
     assert!(inherited.values().all(|urgency| *urgency == urgent));
 }
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -1,4 +1,4 @@
-//! A job, its tasks, and where they are.
+//! A job with the state and placement of its tasks.
 
 use super::{
     JobSpec, MachineId, Placement, PlacementStage, Resources, TaskSet, Timestamp, UnixTime,
@@ -8,22 +8,24 @@
 use crate::wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a job stands between its submission and its end.
+/// Phase of a job's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobPhase {
-    /// Accepted; runs or waits.
+    /// The job is accepted; its tasks run or wait to be placed.
     Open,
-    /// Cancelled, durably.
+    /// The job is cancelled, and this is recorded durably.
     Cancelled,
     /// All tasks have completed.
     Done {
-        /// Whether that is durable.
+        /// Whether the completion is recorded durably.
         recorded: bool,
     },
 }
 
 /// The highest priority and the earliest deadline of the jobs that depend on a job, directly or
-/// through others: users set both on the last job of a pipeline only.
+/// transitively.
+///
+/// Users set both only on the last job of a pipeline, so the jobs before it inherit them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InheritedUrgency {
     /// Highest priority.
@@ -33,7 +35,7 @@
 }
 
 impl InheritedUrgency {
-    /// The more urgent of both in each respect.
+    /// Returns the higher of the two priorities and the earlier of the two deadlines.
     pub fn most_urgent(self, other: InheritedUrgency) -> InheritedUrgency {
         InheritedUrgency {
             priority: self.priority.max(other.priority),
@@ -42,43 +44,44 @@
     }
 }
 
-/// A job that may run, as this node knows it.
+/// A job that may run, with the state of it that this node has observed.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// What it asks for.
+    /// Specification of the job, from its submission.
     pub spec: JobSpec,
-    /// Version of its record in the state service.
+    /// Version of the job's record in the state service.
     pub version: u64,
-    /// Where it stands.
+    /// Phase of the job's life cycle.
     pub phase: JobPhase,
-    /// When it was submitted; orders jobs in the same way on all nodes.
+    /// When the job was submitted. All nodes order jobs by this time, so that they agree on the
+    /// order.
     pub submitted_at: UnixTime,
-    /// When it could first run: when it was submitted, or when its last dependency was done.
+    /// When the job could first run: at its submission, or when its last dependency was done.
     pub ready_at: UnixTime,
-    /// Urgency of the jobs that depend on it.
+    /// Urgency inherited from the jobs that depend on this one.
     pub inherited: Option<InheritedUrgency>,
     /// Tasks that have completed.
     pub completed: TaskSet,
     /// Tasks whose completion is durable.
     pub durable_completions: TaskSet,
-    /// Keys of the records of durable completions, with their versions.
+    /// Versions of the records that hold the durable completions, by key.
     pub progress_records: BTreeMap<String, u64>,
-    /// Tasks that wait to be placed.
+    /// Tasks that wait for placement.
     pub pending: TaskSet,
-    /// Tasks that are or may be on machines, by index.
+    /// Placements of the tasks that are or may be on machines, by task index.
     pub placements: BTreeMap<u32, Placement>,
-    /// Task failures in a row.
+    /// Number of task failures since a task of the job last completed.
     pub consecutive_failures: u32,
-    /// No task starts before.
+    /// Time before which no task of the job is started, as backoff after failures.
     pub backoff_until: Timestamp,
-    /// Machines on which its tasks failed since one last completed.
+    /// Machines on which tasks of the job have failed since one last completed.
     pub failed_machines: BTreeSet<MachineId>,
-    /// When this node first knew of it.
+    /// When this node first observed the job.
     pub first_seen_at: Timestamp,
 }
 
 impl Job {
-    /// A job of which nothing is placed or completed.
+    /// Creates a job without placed or completed tasks.
     pub fn new(
         spec: JobSpec,
         version: u64,
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Forgets what only a leader knows: placements, completions and failures.
+    /// Discards the state that only a leader maintains: placements, completions and failures.
     pub fn forget_leader_state(&mut self) {
         let fresh = Job::new(
             self.spec.clone(),
@@ -122,22 +125,25 @@
         };
     }
 
-    /// Its deadline: its own, or an earlier one of a job that depends on it.
+    /// Returns the job's own deadline, or that of a dependent job if it is earlier.
     pub fn deadline(&self) -> UnixTime {
         let own = self.spec.deadline_at(self.submitted_at);
         self.inherited
             .map_or(own, |inherited| own.min(inherited.deadline))
     }
 
-    /// Its own priority, or a higher one of a job that depends on it.
+    /// Returns the job's own priority, or that of a dependent job if it is higher.
     pub fn priority(&self) -> Priority {
         let own = self.spec.priority;
         self.inherited
             .map_or(own, |inherited| own.max(inherited.priority))
     }
 
-    /// Whether nothing of it has run or runs although it could have long before `now`. One
-    /// that keeps failing waits for a reason of its own.
+    /// Reports whether no task of the job is placed or has completed although the job has been
+    /// ready for more than [`STARVATION_AFTER`].
+    ///
+    /// A job with [`STARVATION_MAX_FAILURES`] or more consecutive failures does not count as
+    /// starving: it waits because its tasks fail, not for lack of resources.
     pub fn is_starving(&self, now: UnixTime) -> bool {
         self.placements.is_empty()
             && self.completed.is_empty()
@@ -145,22 +151,25 @@
             && now.saturating_since(self.ready_at) > STARVATION_AFTER
     }
 
-    /// Whether it runs or waits.
+    /// Reports whether the job is neither cancelled nor done.
     pub fn is_open(&self) -> bool {
         self.phase == JobPhase::Open
     }
 
-    /// Whether its tasks start and complete together.
+    /// Reports whether the job's tasks start and complete together.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    /// Resources of its placed tasks.
+    /// Returns the total resources of the placed tasks.
     pub fn allocated(&self) -> Resources {
         self.spec.request.times(self.placements.len() as u64)
     }
 
-    /// Records a task as completed; true if that completes the job.
+    /// Records a task as completed and reports whether this completes the job.
+    ///
+    /// The call has no effect if the index is out of range, the job is a service, or the job is not
+    /// open.
     pub fn complete_task(&mut self, index: u32) -> bool {
         if index >= self.spec.tasks || self.spec.kind == JobKind::Service || !self.is_open() {
             return false;
@@ -173,21 +182,21 @@
             self.completed.insert(index);
             self.pending.remove(index);
         }
-        let all = self.completed.len() == u64::from(self.spec.tasks);
-        if all {
+        let all_completed = self.completed.len() == u64::from(self.spec.tasks);
+        if all_completed {
             self.phase = JobPhase::Done { recorded: false };
         }
-        all
+        all_completed
     }
 
-    /// Places a task that waits.
+    /// Places a pending task.
     pub fn place(&mut self, index: u32, placement: Placement) {
         self.pending.remove(index);
         self.placements.insert(index, placement);
     }
 
-    /// Removes the placement of a task that surely is not on its machine any more; the task waits
-    /// again unless it has completed.
+    /// Removes and returns the placement of a task that is certainly no longer on its machine; the
+    /// task becomes pending again unless it has completed.
     pub fn remove_placement(&mut self, index: u32) -> Option<Placement> {
         let placement = self.placements.remove(&index)?;
         if !self.completed.contains(index) {
@@ -196,14 +205,15 @@
         Some(placement)
     }
 
-    /// Asks all placed tasks to stop; an earlier request with a shorter grace stands.
+    /// Requests all placed tasks to stop. If a task already has a stop request, the shorter of the
+    /// two grace periods applies.
     pub fn stop_all_tasks(&mut self, grace_s: u64, now: Timestamp) {
         for placement in self.placements.values_mut() {
             placement.request_stop(grace_s, now);
         }
     }
 
-    /// Number of tasks that run.
+    /// Returns the number of tasks that workers report as running.
     pub fn running_tasks(&self) -> u64 {
         self.placements
             .values()
--- a/src/model/machine.rs
+++ b/src/model/machine.rs
@@ -1,4 +1,4 @@
-//! A rented machine as its leader knows it.
+//! A rented machine, with the state that the leader maintains for it.
 
 use super::{JobId, MachineId, TaskId, Timestamp};
 use crate::constants::TOKEN_BITS;
@@ -7,32 +7,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Orders a machine's messages: a larger one is newer.
+/// Position of a message in the order of a machine's messages; a larger value is newer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatSequence {
     /// Incarnation of the worker.
     pub incarnation: u64,
-    /// Number of the message within the incarnation.
+    /// Sequence number of the message within the incarnation.
     pub sequence: u64,
 }
 
-/// The right to give commands to workers, as they compare it: a leader's term, and below it a
-/// count that the leader raises to make a worker send a heartbeat at once.
+/// A fencing token, which workers compare to reject commands of superseded leaders.
+///
+/// The high bits hold the leader's term. The low [`TOKEN_BITS`] bits hold a counter that the leader
+/// raises to make a worker send a heartbeat immediately.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// The least token of a term.
+    /// Returns the lowest token of a term.
     pub fn first_of_term(term: u64) -> Self {
         FencingToken(term << TOKEN_BITS)
     }
 
-    /// The term that the token belongs to.
+    /// Returns the term that the token belongs to.
     pub fn term(self) -> u64 {
         self.0 >> TOKEN_BITS
     }
 
-    /// A higher token of the same term; the same one if the term has no more.
+    /// Returns the next higher token of the same term, or the token itself if it is the last of its
+    /// term.
     pub fn next(self) -> Self {
         let next = FencingToken(self.0 + 1);
         if next.term() == self.term() {
@@ -43,75 +46,81 @@
     }
 }
 
-/// Where a machine stands between its rental and its return.
+/// Phase of a machine's life cycle between its rental and its return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// Rented or listed; no heartbeat with this leader's token yet.
+    /// The machine is rented or in the cloud's list, and no heartbeat has carried this leader's
+    /// token yet.
     Booting,
-    /// Its heartbeats have confirmed this leader's token.
+    /// A heartbeat of the machine has confirmed this leader's token.
     Up,
-    /// Its return is wanted or in flight; it accepts nothing.
+    /// The return of the machine is planned or in progress; the machine accepts no tasks.
     Returning,
 }
 
 /// A machine of the leader's fleet.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Name of the machine.
+    /// Name of the machine, chosen by the cloud.
     pub id: MachineId,
-    /// Where its worker takes direct commands, once a heartbeat has told.
+    /// Address at which the worker takes direct commands; `None` until a heartbeat reports it.
     pub address: Option<SocketAddr>,
-    /// Machine type; empty until a heartbeat or the cloud's list has told.
+    /// Name of the machine type; empty until a heartbeat or the cloud's list reports it.
     pub machine_type: Arc<str>,
-    /// Zone; empty until a heartbeat or the cloud's list has told.
+    /// Zone of the machine; empty until a heartbeat or the cloud's list reports it.
     pub zone: Arc<str>,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Where it stands.
+    /// Phase of the machine's life cycle.
     pub phase: MachinePhase,
-    /// When it was rented, as far as known.
+    /// When the machine was rented, or the best available estimate of that time.
     pub rented_at: Timestamp,
-    /// When it last proved that it is alive and receives responses, or became known.
+    /// When a heartbeat last proved that the machine is alive and receives responses; before the
+    /// first such heartbeat, when the machine was first observed.
     pub last_confirmed_at: Timestamp,
-    /// The newest heartbeat.
+    /// Sequence of the newest heartbeat.
     pub heartbeat_sequence: HeartbeatSequence,
-    /// The highest token that it has seen or been sent in this leader's term.
+    /// The highest token of this leader's term that the machine has seen or been sent.
     pub fencing_token: FencingToken,
-    /// When it was last sent a higher token to make it send a heartbeat.
+    /// When the machine was last sent a higher token to make it send a heartbeat.
     pub heartbeat_requested_at: Option<Timestamp>,
-    /// When its newest heartbeat came in. By itself no sign of life: heartbeats come late, and come
-    /// from machines that responses don't reach.
+    /// When the newest heartbeat arrived.
+    ///
+    /// This alone does not prove that the machine is alive: heartbeats may be delayed, and machines
+    /// that do not receive responses send heartbeats too.
     pub last_heartbeat_at: Timestamp,
-    /// Whether its newest heartbeat proves that it is alive and receives responses. Without that
-    /// it is given nothing to do.
+    /// Whether the newest heartbeat proves that the machine is alive and receives responses.
+    /// Without this proof, no tasks are placed on the machine.
     pub responsive: bool,
-    /// Direct commands sent since its newest heartbeat; each that was executed raises its
-    /// sequence number.
+    /// Number of direct commands sent since the newest heartbeat. The worker raises its sequence
+    /// number with each command that it executes.
     pub direct_commands: u64,
-    /// Whether the cloud has named it: else it may be known by a late heartbeat of a machine that
-    /// is long gone.
+    /// Whether the cloud has confirmed that the machine exists. If not, the only evidence may be a
+    /// delayed heartbeat of a machine that was returned long ago.
     pub confirmed_by_cloud: bool,
-    /// When the cloud takes a spot instance back, if it has given notice.
+    /// When the cloud preempts the spot instance, if it has given notice.
     pub preemption_at: Option<Timestamp>,
-    /// Tasks placed on it.
+    /// Tasks placed on the machine.
     pub tasks: BTreeSet<TaskId>,
-    /// Tasks in its newest heartbeat that are not placed there, with their attempts: they are
-    /// being stopped.
+    /// Tasks in the newest heartbeat that are not placed on the machine, with their attempt
+    /// numbers. They are being stopped.
     pub orphaned_tasks: BTreeSet<(TaskId, u64)>,
-    /// Images that it has, with their sizes in GB; the most recently used is last.
+    /// Images cached on the machine with their sizes in GB, the most recently used last.
     pub images: VecDeque<(Arc<str>, f64)>,
-    /// Jobs whose tasks failed on it since a task last completed there.
+    /// Jobs whose tasks have failed on the machine since a task last completed there.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Accepts nothing more because tasks fail on it; returned when empty.
+    /// Whether the machine is quarantined because tasks fail on it. A quarantined machine accepts
+    /// no tasks and is returned when it is empty.
     pub quarantined: bool,
-    /// Accepts nothing more because its replicas move to other machines; returned when empty.
+    /// Whether the machine is being drained by moving its replicas to other machines. A draining
+    /// machine accepts no tasks and is returned when it is empty.
     pub draining: bool,
-    /// Since when it holds nothing.
+    /// Since when no task is on the machine.
     pub idle_since: Timestamp,
 }
 
 impl Machine {
-    /// A machine that became known at `now`, of which no heartbeat has come yet.
+    /// Creates a machine that is first observed at `now` and has sent no heartbeat yet.
     pub fn new(
         id: MachineId,
         machine_type: Arc<str>,
@@ -146,16 +155,20 @@
         }
     }
 
-    /// A machine of which only the name is known: type and zone follow with its first heartbeat
-    /// or with the cloud's list.
+    /// Creates a machine without type and zone; the first heartbeat or the cloud's list supplies
+    /// them.
     pub fn unidentified(id: MachineId, spot: bool, now: Timestamp) -> Self {
         Machine::new(id, "".into(), "".into(), spot, now)
     }
 
-    /// Records a heartbeat newer than all before. One that follows the last within `deadline`,
-    /// with none to another node between, shows that the worker received the last response. Any
-    /// other may be from a machine that responses don't reach (it asks other nodes in turn), or a
-    /// late copy from one that is gone: it proves nothing.
+    /// Records a heartbeat that is newer than all earlier ones, and updates
+    /// [`Machine::responsive`].
+    ///
+    /// A heartbeat that arrives within `deadline` of the previous one, without a heartbeat to
+    /// another node in between, proves that the worker received the previous response. Any other
+    /// heartbeat proves nothing: it may come from a machine that receives no responses and
+    /// therefore tries the other nodes in turn, or be a delayed copy from a machine that no longer
+    /// exists.
     pub fn record_heartbeat(
         &mut self,
         sequence: HeartbeatSequence,
@@ -163,12 +176,12 @@
         now: Timestamp,
         deadline: Duration,
     ) {
-        let first = token_confirmed && self.phase == MachinePhase::Booting;
-        let next_expected = self.heartbeat_sequence.sequence + 1 + self.direct_commands;
-        let follows = sequence.incarnation == self.heartbeat_sequence.incarnation
-            && sequence.sequence <= next_expected
+        let is_first_confirmation = token_confirmed && self.phase == MachinePhase::Booting;
+        let max_next_sequence = self.heartbeat_sequence.sequence + 1 + self.direct_commands;
+        let follows_previous = sequence.incarnation == self.heartbeat_sequence.incarnation
+            && sequence.sequence <= max_next_sequence
             && now <= self.last_heartbeat_at + deadline;
-        self.responsive = token_confirmed && (first || follows);
+        self.responsive = token_confirmed && (is_first_confirmation || follows_previous);
         if self.responsive {
             self.last_confirmed_at = now;
         }
@@ -177,12 +190,13 @@
         self.direct_commands = 0;
     }
 
-    /// Whether it has the image.
+    /// Reports whether the image is cached on the machine.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(name, _)| &**name == image)
     }
 
-    /// Records that it has used an image, and evicts the least recently used ones beyond its cache.
+    /// Records the use of an image, and evicts the least recently used images while the total
+    /// exceeds `cache_gb`. The image just used is never evicted.
     pub fn record_image_use(&mut self, image: &Arc<str>, image_gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push_back((image.clone(), image_gb));
@@ -192,12 +206,12 @@
         }
     }
 
-    /// Whether nothing is on it, placed or orphaned.
+    /// Reports whether no task, placed or orphaned, is on the machine.
     pub fn is_empty(&self) -> bool {
         self.tasks.is_empty() && self.orphaned_tasks.is_empty()
     }
 
-    /// Whether it accepts new tasks, apart from available resources.
+    /// Reports whether the machine accepts new tasks, regardless of its available resources.
     pub fn accepts_tasks(&self) -> bool {
         self.phase == MachinePhase::Up
             && self.responsive
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,7 @@
-//! What the scheduler knows: jobs, teams' use, machines and rounds. Pure data: no I/O and no
-//! clock is read here; times come in as [`Timestamp`] and [`UnixTime`].
+//! The scheduler's data model: jobs, tasks, placements, machines and resources.
+//!
+//! The module performs no I/O and reads no clock; callers pass times as [`Timestamp`] and
+//! [`UnixTime`].
 
 pub mod dependencies;
 mod job;
@@ -26,7 +28,7 @@
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(
-            /// The text of the name.
+            /// The identifier as text.
             pub Arc<str>,
         );
 
@@ -53,17 +55,17 @@
     MachineId
 );
 
-/// Names one task of a job.
+/// Identifies one task of a job; displayed as `<job>/<index>`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
     /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Parses `<job>/<index>`.
+    /// Parses `<job>/<index>`; returns `None` if the text has another form.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId {
@@ -79,7 +81,8 @@
     }
 }
 
-/// Amounts in thousandths, so that capacities are compared in whole numbers.
+/// Amounts of resources in thousandths of a unit, so that sums and comparisons of decimal amounts
+/// are exact.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Resources {
     /// Thousandths of a CPU core.
@@ -90,38 +93,39 @@
     pub memory: u64,
 }
 
-/// Tolerance for decimal numbers that binary ones represent inexactly, in thousandths.
-const ROUNDING: f64 = 1e-6;
+/// Rounding tolerance for decimal numbers without an exact binary floating-point representation, in
+/// thousandths of a unit.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// What a task requests: rounded up.
+    /// Converts the amounts that a task requests, rounding up to whole thousandths.
     pub fn demand(cpus: f64, gpus: f64, memory: f64) -> Self {
-        let up = |x: f64| (x * 1000.0 - ROUNDING).ceil().max(0.0) as u64;
+        let round_up = |x: f64| (x * 1000.0 - ROUNDING_TOLERANCE).ceil().max(0.0) as u64;
         Resources {
-            cpus: up(cpus),
-            gpus: up(gpus),
-            memory: up(memory),
+            cpus: round_up(cpus),
+            gpus: round_up(gpus),
+            memory: round_up(memory),
         }
     }
 
-    /// What a machine or a limit offers: rounded down.
+    /// Converts the amounts that a machine or a limit offers, rounding down to whole thousandths.
     pub fn capacity(cpus: f64, gpus: f64, memory: f64) -> Self {
-        let down = |x: f64| (x * 1000.0 + ROUNDING).floor().max(0.0) as u64;
+        let round_down = |x: f64| (x * 1000.0 + ROUNDING_TOLERANCE).floor().max(0.0) as u64;
         Resources {
-            cpus: down(cpus),
-            gpus: down(gpus),
-            memory: down(memory),
+            cpus: round_down(cpus),
+            gpus: round_down(gpus),
+            memory: round_down(memory),
         }
     }
 
-    /// Whether no amount exceeds that of `available`.
+    /// Reports whether no amount exceeds that of `available`.
     pub fn fits_in(self, available: Resources) -> bool {
         self.cpus <= available.cpus
             && self.gpus <= available.gpus
             && self.memory <= available.memory
     }
 
-    /// Each amount so many times.
+    /// Multiplies each amount by `count`, saturating.
     pub fn times(self, count: u64) -> Self {
         Resources {
             cpus: self.cpus.saturating_mul(count),
@@ -130,16 +134,17 @@
         }
     }
 
-    /// How many times `request` fits in; a request for nothing fits any number of times.
+    /// Returns how many times `request` fits into these amounts, at most [`u32::MAX`]. An empty
+    /// request yields [`u32::MAX`].
     pub fn max_multiple(self, request: Resources) -> u32 {
-        let times = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
-        let least = times(self.cpus, request.cpus)
-            .min(times(self.gpus, request.gpus))
-            .min(times(self.memory, request.memory));
-        least.min(u64::from(u32::MAX)) as u32
+        let multiple_of = |whole: u64, part: u64| whole.checked_div(part).unwrap_or(u64::MAX);
+        let multiple = multiple_of(self.cpus, request.cpus)
+            .min(multiple_of(self.gpus, request.gpus))
+            .min(multiple_of(self.memory, request.memory));
+        multiple.min(u64::from(u32::MAX)) as u32
     }
 
-    /// The smaller of both in each amount.
+    /// Returns the smaller of the two values for each amount.
     pub fn component_min(self, other: Resources) -> Self {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -148,7 +153,8 @@
         }
     }
 
-    /// The share of `whole` that this is, in thousandths, by the amount with the largest share.
+    /// Returns these amounts as a share of `whole`, in thousandths: the largest of the shares of
+    /// CPUs, GPUs and memory. An amount of which `whole` has none counts as 0.
     pub fn permille_of(self, whole: Resources) -> u64 {
         let permille =
             |part: u64, total: u64| part.saturating_mul(1000).checked_div(total).unwrap_or(0);
@@ -186,24 +192,24 @@
     }
 }
 
-/// A machine type in the units of the scheduler.
+/// A machine type in the scheduler's units.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
     /// Name of the type.
     pub name: Arc<str>,
     /// Resources of a machine.
     pub capacity: Resources,
-    /// Space for images, GB.
+    /// Size of the image cache, GB.
     pub cache_gb: f64,
     /// Rate at which images are fetched, GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price per hour.
+    /// Price per hour of an on-demand machine.
     pub price: f64,
-    /// Current price per hour as a spot instance.
+    /// Current price per hour of a spot instance.
     pub spot_price: f64,
-    /// Nominal time to boot.
+    /// Nominal boot time.
     pub boot_time: Duration,
-    /// Zones that have the type.
+    /// Zones that offer the type.
     pub zones: Vec<Arc<str>>,
 }
 
@@ -217,18 +223,18 @@
             price: wire.price,
             spot_price: wire.spot_price,
             boot_time: Duration::from_millis((wire.boot_s.max(0.0) * 1000.0) as u64),
-            zones: wire.zones.iter().map(|z| z.as_str().into()).collect(),
+            zones: wire.zones.iter().map(|zone| zone.as_str().into()).collect(),
         }
     }
 }
 
 impl MachineType {
-    /// GB of images that it fetches in the time in which one of its type boots.
+    /// Returns the GB of images that a machine of this type can fetch within the boot time of one.
     pub fn boot_gb(&self) -> f64 {
         whole_millis(self.boot_time) as f64 / 1000.0 * self.fetch_gb_per_s
     }
 
-    /// Price per hour, of a spot instance or an ordinary machine.
+    /// Returns the price per hour of a spot instance or of an on-demand machine.
     pub fn hourly_price(&self, spot: bool) -> f64 {
         if spot { self.spot_price } else { self.price }
     }
--- a/src/model/placement.rs
+++ b/src/model/placement.rs
@@ -1,51 +1,54 @@
-//! Where a task of a job is, and how far its start or stop has come.
+//! Placements of tasks on machines, with the progress of their starts and stops.
 
 use super::{HeartbeatSequence, MachineId, Timestamp};
 use crate::wire::worker::TaskState;
 
-/// Where a placed task stands.
+/// Stage of a placed task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementStage {
-    /// Its round is being written.
+    /// The round that starts the task is being written.
     Planned,
-    /// Its round is durable; no heartbeat has named the task yet.
+    /// The round is durable, and no heartbeat has listed the task yet.
     Starting {
-        /// The heartbeat whose response last carried the start.
+        /// The heartbeat whose response last carried the start command, if any did.
         sent: Option<HeartbeatSequence>,
-        /// How often the start was sent again.
+        /// How many times the start command was resent.
         resends: u32,
     },
-    /// A heartbeat named the task in this state.
+    /// A heartbeat listed the task in this state.
     Reported(TaskState),
 }
 
-/// A request to stop a task, repeated until the task is gone.
+/// A request to stop a task, resent until the task is no longer on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopRequest {
-    /// Seconds in which the task may write a checkpoint.
+    /// Seconds that the task has to write a checkpoint.
     pub grace_s: u64,
-    /// When the task was first told to stop.
+    /// When the task was first requested to stop.
     pub requested_at: Timestamp,
 }
 
-/// A task that is, or may be, on a machine. It counts for every rule until it surely is not.
+/// A task that is or may be on a machine.
+///
+/// The placement counts against all limits until the task is certainly no longer on the machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
-    /// The machine.
+    /// Machine that the task is placed on.
     pub machine: MachineId,
     /// Number of the round that started the task.
     pub attempt: u64,
-    /// Where the start stands.
+    /// Stage of the task.
     pub stage: PlacementStage,
-    /// When the round was planned, when it became durable, or when a heartbeat first named the
-    /// task, whichever came last.
+    /// The latest of the times at which the round was planned, the round became durable, and a
+    /// heartbeat first listed the task.
     pub stage_since: Timestamp,
-    /// Set while the task is being stopped.
+    /// The pending stop request; `None` if the task is not being stopped.
     pub stop_request: Option<StopRequest>,
 }
 
 impl Placement {
-    /// Asks the task to stop; an earlier request with a shorter grace stands.
+    /// Requests the task to stop. If there already is a request, the shorter of the two grace
+    /// periods applies.
     pub fn request_stop(&mut self, grace_s: u64, now: Timestamp) {
         match &mut self.stop_request {
             Some(stop) => stop.grace_s = stop.grace_s.min(grace_s),
--- a/src/model/time.rs
+++ b/src/model/time.rs
@@ -1,30 +1,32 @@
-//! Typed instants with the millisecond resolution in which the scheduler works.
+//! Typed points in time with millisecond resolution, the resolution of the scheduler.
 
 use serde::{Deserialize, Serialize};
 use std::ops::Add;
 use std::time::Duration;
 
-/// Whole milliseconds of a duration.
+/// Returns the duration in whole milliseconds; fractions are dropped.
 pub fn whole_millis(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
 
-/// An instant of the engine's monotonic clock. Instants of two processes can't be compared.
+/// A point in time on the engine's monotonic clock.
+///
+/// Timestamps of different processes cannot be compared.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// The instant so many milliseconds after the clock's zero.
+    /// Creates the timestamp that is `millis` milliseconds after the clock's zero.
     pub const fn from_millis(millis: u64) -> Self {
         Timestamp(millis)
     }
 
-    /// Time that has passed since an earlier instant; zero if that one is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than `self`.
     pub fn saturating_since(self, earlier: Timestamp) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The instant that much earlier, or the clock's zero.
+    /// Returns the timestamp that is `duration` earlier, at least the clock's zero.
     pub fn saturating_sub(self, duration: Duration) -> Timestamp {
         Timestamp(self.0.saturating_sub(whole_millis(duration)))
     }
@@ -38,8 +40,9 @@
     }
 }
 
-/// A time of day as milliseconds of unix time: the same on all nodes, within the error of their
-/// clocks.
+/// A wall-clock time in milliseconds since the Unix epoch.
+///
+/// Nodes agree on it within the error of their clocks.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -47,22 +50,22 @@
 pub struct UnixTime(u64);
 
 impl UnixTime {
-    /// The time so many milliseconds after the epoch.
+    /// Creates the time that is `millis` milliseconds after the Unix epoch.
     pub const fn from_millis(millis: u64) -> Self {
         UnixTime(millis)
     }
 
-    /// Milliseconds since the epoch.
+    /// Returns the milliseconds since the Unix epoch.
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// Time that has passed since an earlier time; zero if that one is later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than `self`.
     pub fn saturating_since(self, earlier: UnixTime) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The time that much later, at most the latest that there is.
+    /// Returns the time that is `duration` later, at most the largest representable time.
     pub fn saturating_add(self, duration: Duration) -> UnixTime {
         UnixTime(self.0.saturating_add(whole_millis(duration)))
     }
