--- a/src/model/job_spec.rs
+++ b/src/model/job_spec.rs
@@ -39,7 +39,7 @@
     pub expected_duration: Duration,
     /// Time from the submission to the deadline, if the job has a deadline.
     pub deadline: Option<Duration>,
-    /// Run time between two checkpoints; zero if the tasks write no checkpoints.
+    /// Progress (run time) between two checkpoints; zero if the tasks write no checkpoints.
     pub checkpoint_interval: Duration,
     /// Time that writing a checkpoint takes, in seconds.
     pub checkpoint_cost_s: f64,
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,14 +1,16 @@
-//! Frames: a length of four bytes, big-endian, then the version and a postcard message, both of
-//! which the length counts.
+//! Encoding and decoding of frames.
+//!
+//! A frame consists of its length (four bytes, big-endian), the protocol version (one byte) and a
+//! message encoded with postcard. The length counts the version and the message.
 
 use super::Message;
 use crate::constants;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes of the length in front of a frame.
+/// Size of the length field in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of the version, the first of a frame.
+/// Size of the version field in bytes; the field follows the length.
 const VERSION_BYTES: usize = 1;
 
 /// Why a frame could not be read or written.
@@ -17,26 +19,30 @@
     /// The connection failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// The frame is empty or longer than [`constants::MAX_PEER_FRAME_BYTES`].
+    /// The frame is empty, or its length exceeds [`constants::MAX_PEER_FRAME_BYTES`].
     #[error("frame of {0} bytes")]
     InvalidLength(usize),
-    /// The peer has another version.
+    /// The frame has another protocol version than [`constants::PEER_VERSION`].
     #[error("version {0}, expected {expected}", expected = constants::PEER_VERSION)]
     VersionMismatch(u8),
-    /// The frame holds no message.
+    /// The message in the frame cannot be decoded, or a message cannot be encoded.
     #[error("undecodable frame: {0}")]
     Decode(#[from] postcard::Error),
-    /// The peer did not answer in time.
+    /// The peer did not send or answer a message within the timeout.
     #[error("no answer in time")]
     Timeout,
 }
 
-/// Reads one frame.
+/// Reads one frame and decodes its message.
 ///
 /// # Errors
 ///
-/// If the connection fails, or the frame is too long, of another version or not a message. The
-/// connection can't be used after an error.
+/// - [`PeerError::Io`] if the connection fails,
+/// - [`PeerError::InvalidLength`] if the frame is empty or too long,
+/// - [`PeerError::VersionMismatch`] if the frame has another version,
+/// - [`PeerError::Decode`] if the message cannot be decoded.
+///
+/// The connection must not be used after an error.
 pub async fn read_frame(stream: &mut TcpStream) -> Result<Message, PeerError> {
     let length = stream.read_u32().await? as usize;
     if length == 0 || length > constants::MAX_PEER_FRAME_BYTES {
@@ -51,21 +57,23 @@
     Ok(postcard::from_bytes(&frame[VERSION_BYTES..])?)
 }
 
-/// Writes one frame.
+/// Encodes a message and writes it as one frame.
 ///
 /// # Errors
 ///
-/// If the connection fails or the message is too long.
+/// - [`PeerError::Io`] if the connection fails,
+/// - [`PeerError::InvalidLength`] if the message is too long,
+/// - [`PeerError::Decode`] if the message cannot be encoded.
 pub async fn write_frame(stream: &mut TcpStream, message: &Message) -> Result<(), PeerError> {
-    let body = postcard::to_stdvec(message)?;
-    let length = VERSION_BYTES + body.len();
+    let encoded_message = postcard::to_stdvec(message)?;
+    let length = VERSION_BYTES + encoded_message.len();
     if length > constants::MAX_PEER_FRAME_BYTES {
         return Err(PeerError::InvalidLength(length));
     }
     let mut frame = Vec::with_capacity(LENGTH_BYTES + length);
     frame.extend_from_slice(&(length as u32).to_be_bytes());
     frame.push(constants::PEER_VERSION);
-    frame.extend_from_slice(&body);
+    frame.extend_from_slice(&encoded_message);
     stream.write_all(&frame).await?;
     Ok(())
 }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,39 +1,42 @@
-//! Messages between nodes. Their encoding is the order of variants and fields: other versions
-//! read it, so both stay as they are.
+//! Messages between controller nodes.
+//!
+//! The order of variants and fields determines the encoding. Nodes of other software versions read
+//! it, so this order must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// What a node says of itself.
+/// The state that a node announces to its peers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// Name of the node.
     pub node: String,
-    /// The term that it leads with; 0 if it does not lead.
+    /// The term in which the node is leader; 0 if it is not the leader.
     pub term: u64,
-    /// Whether the state service has answered it lately.
+    /// Whether the state service has recently answered the node.
     pub store_reachable: bool,
 }
 
 /// A message from one node to another, or the answer to it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Answered with the other node's announcement.
+    /// Announces the sender's state; answered with the receiver's announcement.
     Announce(Announcement),
-    /// Asks how many tasks of a job have completed and run; answered with [`Message::Counts`].
+    /// Requests the numbers of completed and running tasks of a job; answered with
+    /// [`Message::Counts`], or with [`Message::Nothing`] if the numbers are not known.
     Count {
         /// Id of the job.
         job: String,
     },
-    /// Numbers of a job's tasks.
+    /// Reports the numbers of a job's completed and running tasks.
     Counts {
-        /// Completed tasks.
+        /// Number of completed tasks.
         done: u64,
-        /// Running tasks.
+        /// Number of running tasks.
         running: u64,
     },
-    /// An acknowledgement, or the answer to a message that has none.
+    /// Acknowledges a message, or answers a message to which there is no other answer.
     Nothing,
-    /// A job's cancellation is durable; answered with [`Message::Nothing`].
+    /// Announces that a job's cancellation is durable; answered with [`Message::Nothing`].
     Cancelled {
         /// Id of the job.
         job: String,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,8 +1,8 @@
-//! Controller nodes <-> controller nodes: small frames, one answer to each.
+//! The protocol between controller nodes: small frames, each with one answer.
 //!
-//! What a peer says is a hint and no ground for a decision: it makes a superseded leader step
-//! down sooner, has cancelled tasks stopped sooner, and fills in numbers for display. Safety rests
-//! on the state service alone.
+//! Messages from peers are hints, on which the safety of the cluster must not depend: they make a
+//! superseded leader step down sooner, stop cancelled tasks sooner, and supply task counts for
+//! display. Safety depends on the state service alone.
 
 mod frame;
 mod link;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,8 +1,8 @@
-//! Makes calls to the state service.
+//! The client of the state service.
 
 use super::limits::CallLimits;
-use super::request::{request, timeout};
-use super::response::{read, read_record};
+use super::request::{http_request, response_timeout};
+use super::response::{decode_record, decode_response};
 use super::{
     CallPriority, NotExecutedCause, Record, StoreCall, StoreError, StoreReply, UnknownOutcomeCause,
 };
@@ -11,7 +11,8 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 
-/// A client of the state service that keeps to this node's share of the service's limits.
+/// A client of the state service that stays within this node's share of the service's rate
+/// limits.
 #[derive(Debug)]
 pub struct StoreClient {
     http: HttpClient,
@@ -20,7 +21,7 @@
 }
 
 impl StoreClient {
-    /// A client of the state service that the settings name.
+    /// Creates a client for the state service at the address given in the settings.
     pub fn new(http: HttpClient, settings: &Settings) -> Self {
         StoreClient {
             http,
@@ -29,37 +30,44 @@
         }
     }
 
-    /// Makes the call and reads its response.
+    /// Makes the call and decodes its response.
     ///
     /// # Errors
     ///
-    /// If the service refuses the call, can't be reached, or its response can't be read.
+    /// - [`StoreError::Conflict`] if comparisons of a transaction failed,
+    /// - [`StoreError::LeaseNotFound`] if the lease to renew or revoke does not exist,
+    /// - [`StoreError::Compacted`] if a watch cannot return all changes,
+    /// - [`StoreError::NotExecuted`] if the service refused the call, the request was not sent, or
+    ///   too few rate-limit tokens are left for a user's call,
+    /// - [`StoreError::UnknownOutcome`] if no readable response arrived,
+    /// - [`StoreError::Malformed`] if the response has an unexpected status code.
     pub async fn call(
         &self,
         call: &StoreCall,
         priority: CallPriority,
     ) -> Result<StoreReply, StoreError> {
         let response = self.exchange(call, priority).await?;
-        read(call, &response)
+        decode_response(call, &response)
     }
 
-    /// Reads the record under a key, on behalf of a user; `None` if the key does not exist. The
-    /// record is decoded in place, without an [`rmpv::Value`] in between, since most calls of a
-    /// node are of this kind.
+    /// Reads the record under a key on behalf of a user; returns `None` if the key does not exist.
+    ///
+    /// The record is decoded directly, without an intermediate [`rmpv::Value`], because most calls
+    /// of a node are of this kind.
     ///
     /// # Errors
     ///
-    /// Those of [`StoreClient::call`].
+    /// The errors of [`StoreClient::call`].
     pub async fn get_record<T: DeserializeOwned>(
         &self,
         key: String,
     ) -> Result<Option<Record<T>>, StoreError> {
         let call = StoreCall::Get { key };
         let response = self.exchange(&call, CallPriority::User).await?;
-        read_record(&call, &response)
+        decode_record(&call, &response)
     }
 
-    /// Makes the call once the rate limits allow it.
+    /// Sends the call once the rate limits admit it, and returns its HTTP response.
     async fn exchange(
         &self,
         call: &StoreCall,
@@ -67,17 +75,18 @@
     ) -> Result<HttpResponse, StoreError> {
         self.limits.admit(call, priority).await?;
         self.http
-            .send(self.address, request(call), timeout(call))
+            .send(self.address, http_request(call), response_timeout(call))
             .await
-            .map_err(|error| failure(call, error))
+            .map_err(|error| store_error(call, error))
     }
 }
 
-/// What a call without a response means.
-fn failure(call: &StoreCall, error: HttpError) -> StoreError {
+/// Returns the error of a call that got no response.
+fn store_error(call: &StoreCall, error: HttpError) -> StoreError {
     match (error, call) {
         (HttpError::NotSent(cause), _) => NotExecutedCause::from(cause).into(),
-        // More has changed than is read at once: the records are read again, in pages.
+        // The response exceeds the body limit because too much has changed. Reporting a compacted
+        // watch makes the engine list all records again, in pages.
         (HttpError::TooLong, StoreCall::Watch { .. }) => StoreError::Compacted,
         (error, _) => UnknownOutcomeCause::from(error).into(),
     }
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -1,4 +1,4 @@
-//! Errors of calls to the state service, by what they tell of the call's execution.
+//! Errors of calls to the state service, classified by whether the call was executed.
 
 use crate::http::{HttpError, SendError};
 use crate::wire::DecodeError;
@@ -6,22 +6,24 @@
 /// Why a call to the state service failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Comparisons failed on these keys: not executed.
+    /// Comparisons of the transaction failed on these keys, so it was not executed.
     #[error("conflict on {0:?}")]
     Conflict(Vec<String>),
     /// The lease has expired or was revoked.
     #[error("no such lease")]
     LeaseNotFound,
-    /// The watch asks for changes that are no longer kept, or for more than is read at once.
+    /// The service no longer keeps the changes that the watch asks for, or they exceed the largest
+    /// response that is read.
     #[error("changes no longer kept, or too many")]
     Compacted,
-    /// Refused, certainly not executed.
+    /// The call was certainly not executed.
     #[error("not executed: {0}")]
     NotExecuted(#[from] NotExecutedCause),
-    /// No response: the call may have been executed, or may still be.
+    /// No readable response arrived: the call may have been executed, or may still be executed
+    /// later.
     #[error("no answer: {0}")]
     UnknownOutcome(#[from] UnknownOutcomeCause),
-    /// The service calls the request malformed, or what it sent does not fit the call.
+    /// The service rejected the request as malformed, or its response does not match the call.
     #[error("bad request or answer: {0}")]
     Malformed(#[from] MalformedCause),
 }
@@ -29,22 +31,22 @@
 /// Why a call was certainly not executed.
 #[derive(Debug, thiserror::Error)]
 pub enum NotExecutedCause {
-    /// The rate limit leaves no token for a user's call.
+    /// The rate limiter has no token left for a user's call.
     #[error("no token left for users")]
     NoTokens,
-    /// The service refused the call with this status code.
+    /// The service refused the call with this HTTP status code.
     #[error("status {0}")]
     Status(u16),
     /// The request was not sent.
     #[error(transparent)]
     NotSent(#[from] SendError),
-    /// A job's record has moved between two reads.
+    /// A job's record was moved or changed between two reads.
     #[error("changing")]
     RecordMoved,
-    /// The newest changes can't be read.
+    /// The newest changes cannot be read.
     #[error("changes can't be read")]
     ChangesUnreadable,
-    /// A refusal of a simulated service.
+    /// A simulated service refused the call.
     #[cfg(test)]
     #[error("{0}")]
     Simulated(String),
@@ -57,27 +59,27 @@
     }
 }
 
-/// What does not fit in the exchange with the service.
+/// Why a request or a response is malformed.
 #[derive(Debug, thiserror::Error)]
 pub enum MalformedCause {
-    /// The response has a status code that no such call gets; its body begins with this text.
+    /// The response has a status code that the protocol does not define for the call.
     #[error("status {status}: {text}")]
     Status {
-        /// The status code.
+        /// The HTTP status code.
         status: u16,
-        /// Beginning of the body.
+        /// Beginning of the response body.
         text: String,
     },
-    /// The response is one of another call.
+    /// The response belongs to another kind of call.
     #[error("unexpected answer")]
     UnexpectedResponse,
-    /// A final record has an unknown form.
+    /// The final record of a job has an unknown form.
     #[error("final record of {job} can't be read")]
     UnreadableFinalRecord {
         /// Id of the job.
         job: String,
     },
-    /// A complaint of a simulated service.
+    /// A simulated service rejected the request as malformed.
     #[cfg(test)]
     #[error("{0}")]
     Simulated(String),
@@ -96,10 +98,10 @@
     /// The request got no response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The response can't be decoded.
+    /// The response cannot be decoded.
     #[error("unreadable answer: {0}")]
     Undecodable(#[from] DecodeError),
-    /// A failure that a simulated service reports.
+    /// A simulated service failed without a response.
     #[cfg(test)]
     #[error("{0}")]
     Simulated(String),
--- a/src/store/error/tests.rs
+++ b/src/store/error/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::http::ResponseError;
 
-/// The texts stand in log lines.
+/// The error texts appear in log lines, which operators search.
 #[test]
-fn errors_print_what_failed_and_why() {
+fn error_texts_include_the_outcome_and_the_cause() {
     let timeout = HttpError::NoResponse(ResponseError::Timeout);
     let undecodable = UnknownOutcomeCause::Undecodable(DecodeError::NotAMap);
     let cases: [(StoreError, &str); 7] = [
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn errors_name_their_cause() {
+fn source_of_a_store_error_is_its_cause() {
     let error = StoreError::from(NotExecutedCause::Status(429));
     let cause = std::error::Error::source(&error).unwrap();
     assert_eq!(cause.to_string(), "status 429");
--- a/src/store/limits.rs
+++ b/src/store/limits.rs
@@ -1,24 +1,25 @@
-//! Keeps calls within the state service's published rates.
+//! Limits the rate of calls to this node's share of the state service's published rates.
 
 use super::{CallPriority, NotExecutedCause, StoreCall, StoreError};
 use crate::constants;
 use crate::rate_limit::RateLimiter;
 use crate::settings::Settings;
 
-/// This node's share of the limits on calls and on mutations.
+/// Rate limiters for calls and for mutations.
 #[derive(Debug)]
 pub(super) struct CallLimits {
     calls: RateLimiter,
     mutations: RateLimiter,
-    /// Kept for users: the leader may use up all others for a while.
+    /// Mutations reserved for users, because the leader may temporarily take all tokens of
+    /// `mutations`.
     user_mutations: RateLimiter,
 }
 
 impl CallLimits {
-    /// The share of the rates that the settings give for the service.
+    /// Creates limiters with this node's share of the rates that the settings give for the service.
     pub(super) fn new(settings: &Settings) -> Self {
         let service = &settings.cluster.state;
-        // A transaction of the largest size must fit into the bucket.
+        // The token bucket must be large enough for a transaction of the maximum size.
         let largest_transaction = service.txn_ops as f64 / constants::RATE_SHARE;
         let mutation_rate = service.write_rps.max(largest_transaction);
         CallLimits {
@@ -37,12 +38,13 @@
         }
     }
 
-    /// Takes a token for the call and one for each of its mutations, waiting for them if the
-    /// priority allows.
+    /// Takes one token for the call and one for each of its mutations.
+    ///
+    /// [`CallPriority::Engine`] waits for missing tokens; the other priorities never wait.
     ///
     /// # Errors
     ///
-    /// [`StoreError::NotExecuted`] if tokens are short for a user's call.
+    /// [`StoreError::NotExecuted`] if too few tokens are available for a user's call.
     pub(super) async fn admit(
         &self,
         call: &StoreCall,
@@ -58,6 +60,7 @@
         }
     }
 
+    /// Takes a token for each mutation. Users' calls try the reserved tokens first.
     async fn admit_mutations(
         &self,
         mutations: f64,
@@ -70,6 +73,7 @@
     }
 }
 
+/// Takes `amount` tokens from a limiter in the way that the priority requires.
 async fn acquire(
     limiter: &RateLimiter,
     amount: f64,
--- a/src/store/limits/tests.rs
+++ b/src/store/limits/tests.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Calls that the sample's limits allow one node at once: its share of 200 a second.
-const CALLS_AT_ONCE: usize = 120;
+/// Burst of calls that the sample settings allow one node: its share of 200 calls per second.
+const CALL_BURST: usize = 120;
 
 fn limits() -> CallLimits {
     CallLimits::new(&Settings::parse(SAMPLE, "sample").unwrap())
@@ -31,62 +31,65 @@
     )
 }
 
-/// How long an admission takes on the test's clock.
-async fn wait_for(limits: &CallLimits, call: &StoreCall, priority: CallPriority) -> Duration {
+/// Returns how long the admission of the call takes on the test's paused clock.
+async fn admission_time(limits: &CallLimits, call: &StoreCall, priority: CallPriority) -> Duration {
     let started = Instant::now();
     limits.admit(call, priority).await.unwrap();
     started.elapsed()
 }
 
 #[tokio::test(start_paused = true)]
-async fn users_are_refused_before_the_engine_has_to_wait() {
+async fn user_calls_are_refused_while_tokens_are_reserved_for_the_engine() {
     let limits = limits();
-    let reserved = (CALLS_AT_ONCE as f64 * constants::RESERVED_RATE_SHARE) as usize;
-    for _ in reserved..CALLS_AT_ONCE {
+    let reserved = (CALL_BURST as f64 * constants::RESERVED_RATE_SHARE) as usize;
+    for _ in reserved..CALL_BURST {
         assert!(limits.admit(&get(), CallPriority::User).await.is_ok());
     }
     let admission = limits.admit(&get(), CallPriority::User).await;
     assert!(is_refused_for_tokens(&admission), "{admission:?}");
     for _ in 0..reserved {
-        let wait = wait_for(&limits, &get(), CallPriority::Engine).await;
+        let wait = admission_time(&limits, &get(), CallPriority::Engine).await;
         assert_eq!(wait, Duration::ZERO);
     }
-    let wait = wait_for(&limits, &get(), CallPriority::Engine).await;
+    let wait = admission_time(&limits, &get(), CallPriority::Engine).await;
     assert!(wait > Duration::ZERO, "the bucket is empty");
 }
 
 #[tokio::test(start_paused = true)]
-async fn calls_of_leadership_never_wait() {
+async fn leadership_calls_are_admitted_without_waiting() {
     let limits = limits();
-    for _ in 0..2 * CALLS_AT_ONCE {
-        let wait = wait_for(&limits, &get(), CallPriority::Leadership).await;
+    for _ in 0..2 * CALL_BURST {
+        let wait = admission_time(&limits, &get(), CallPriority::Leadership).await;
         assert_eq!(wait, Duration::ZERO);
     }
-    let wait = wait_for(&limits, &get(), CallPriority::Engine).await;
-    assert!(wait >= Duration::from_secs(1), "later calls pay: {wait:?}");
+    let wait = admission_time(&limits, &get(), CallPriority::Engine).await;
+    assert!(
+        wait >= Duration::from_secs(1),
+        "engine call waits for the tokens taken in advance: {wait:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn users_have_mutations_of_their_own() {
+async fn user_mutations_are_admitted_when_the_engine_has_used_up_its_tokens() {
     let limits = limits();
-    let mut waited = false;
-    while !waited {
-        let wait = wait_for(&limits, &commit(24), CallPriority::Engine).await;
-        waited = wait > Duration::ZERO;
+    let mut has_waited = false;
+    while !has_waited {
+        let wait = admission_time(&limits, &commit(24), CallPriority::Engine).await;
+        has_waited = wait > Duration::ZERO;
     }
     let admission = limits.admit(&commit(1), CallPriority::User).await;
     assert!(admission.is_ok(), "{admission:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_transaction_without_mutations_takes_no_token_of_theirs() {
+async fn transaction_without_mutations_takes_no_mutation_token() {
     let limits = limits();
     for _ in 0..20 {
-        let wait = wait_for(&limits, &commit(24), CallPriority::Leadership).await;
+        let wait = admission_time(&limits, &commit(24), CallPriority::Leadership).await;
         assert_eq!(wait, Duration::ZERO);
     }
-    let wait = wait_for(&limits, &commit(0), CallPriority::Engine).await;
+    let wait = admission_time(&limits, &commit(0), CallPriority::Engine).await;
     assert_eq!(wait, Duration::ZERO);
-    let wait = wait_for(&limits, &commit(1), CallPriority::Engine).await;
+    let wait = admission_time(&limits, &commit(1), CallPriority::Engine).await;
     assert!(wait > Duration::ZERO);
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The state service, a consensus-backed key-value store: its calls, and the client that carries
-//! them out.
+//! Access to the state service, a consensus-backed key-value store: its calls, replies and errors,
+//! and the client that makes the calls.
 
 mod client;
 mod error;
@@ -18,75 +18,75 @@
 pub enum StoreCall {
     /// Reads one key.
     Get {
-        /// The key.
+        /// The key to read.
         key: String,
     },
-    /// Reads a page of keys.
+    /// Reads a page of the keys with a common prefix.
     List {
         /// Prefix of the keys.
         prefix: String,
-        /// The last key of the page before; none for the first page.
+        /// The last key of the previous page; `None` for the first page.
         after: Option<String>,
     },
     /// Commits a transaction.
     Commit(Transaction),
-    /// Asks for a new lease.
+    /// Requests a new lease.
     GrantLease {
-        /// Time to live.
+        /// Time to live of the lease.
         ttl: Duration,
     },
     /// Renews a lease.
     KeepAlive {
-        /// The lease.
+        /// Id of the lease.
         lease: u64,
     },
-    /// Ends a lease; the keys attached to it are deleted.
+    /// Revokes a lease; the service deletes the keys attached to it.
     RevokeLease {
-        /// The lease.
+        /// Id of the lease.
         lease: u64,
     },
-    /// Waits until a key has changed.
+    /// Waits until a key with the prefix changes.
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// Revision after which changes count.
+        /// Revision after which changes are reported.
         after: u64,
-        /// How long to wait if nothing has changed.
+        /// How long to wait for a change.
         wait: Duration,
     },
 }
 
-/// The state service's reply to a call that succeeded.
+/// The state service's reply to a successful call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreReply {
     /// The key with its value; `None` if it does not exist.
     Item(Option<Item>),
     /// A page of keys.
     Listing(Listing),
-    /// The transaction is committed.
+    /// The transaction was committed.
     Committed {
-        /// Revision of its changes.
+        /// Revision of the transaction's changes.
         revision: u64,
     },
     /// A lease was granted.
     LeaseGranted {
-        /// The lease.
+        /// Id of the lease.
         lease: u64,
     },
     /// A lease was renewed or revoked.
     LeaseUpdated,
-    /// What has changed.
+    /// The changes that a watch reports.
     Changes(Changes),
 }
 
 /// A record read from a key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record<T> {
-    /// The record has the expected form.
+    /// The value under the key has the expected form.
     Read {
-        /// The record.
+        /// The decoded record.
         record: T,
-        /// Version of its key.
+        /// Version of the key.
         version: u64,
     },
     /// The key exists, but its value has another form.
@@ -96,13 +96,13 @@
     },
 }
 
-/// How a call is treated when rate-limit tokens are short.
+/// Priority of a call, which determines how it is treated when rate-limit tokens run short.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPriority {
-    /// Calls that leadership depends on: never wait.
+    /// Calls that keeping the leadership depends on. They never wait for tokens.
     Leadership,
-    /// The engine's other calls: wait for a token.
+    /// The engine's other calls. They wait for tokens.
     Engine,
-    /// On behalf of a user: refused at once when tokens are short.
+    /// Calls on behalf of a user. They are refused immediately if too few tokens are available.
     User,
 }
--- a/src/store/request.rs
+++ b/src/store/request.rs
@@ -1,4 +1,4 @@
-//! The HTTP request of each call, as the platform's protocol defines it.
+//! Conversion of calls to HTTP requests as the platform's protocol defines them.
 
 use super::StoreCall;
 use crate::constants;
@@ -7,11 +7,11 @@
 use crate::wire::store::GrantLeaseRequest;
 use std::time::Duration;
 
-/// The request that makes the call.
-pub(super) fn request(call: &StoreCall) -> HttpRequest {
+/// Returns the HTTP request of a call.
+pub(super) fn http_request(call: &StoreCall) -> HttpRequest {
     match call {
         StoreCall::Get { key } => HttpRequest::get(format!("/store/{key}")),
-        StoreCall::List { prefix, after } => list(prefix, after.as_deref()),
+        StoreCall::List { prefix, after } => list_request(prefix, after.as_deref()),
         StoreCall::Commit(transaction) => HttpRequest::post("/commit", transaction),
         StoreCall::GrantLease { ttl } => {
             let ttl_ms = whole_millis(*ttl);
@@ -30,15 +30,17 @@
     }
 }
 
-/// How long the response may take. A watch is answered late on purpose.
-pub(super) fn timeout(call: &StoreCall) -> Duration {
+/// Returns the timeout for the response to a call. The response to a watch may take as long as the
+/// watch waits for a change, and [`constants::WATCH_SLACK`] longer.
+pub(super) fn response_timeout(call: &StoreCall) -> Duration {
     match call {
         StoreCall::Watch { wait, .. } => *wait + constants::WATCH_SLACK,
         _ => constants::STORE_TIMEOUT,
     }
 }
 
-fn list(prefix: &str, after: Option<&str>) -> HttpRequest {
+/// Returns the request for the page of keys that follows the key `after`, or for the first page.
+fn list_request(prefix: &str, after: Option<&str>) -> HttpRequest {
     let after = after.map_or(String::new(), |key| format!("&after={key}"));
     HttpRequest::get(format!(
         "/store?under={prefix}{after}&page={}",
--- a/src/store/request/tests.rs
+++ b/src/store/request/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_call_has_the_path_of_the_protocol() {
+fn calls_map_to_the_methods_and_paths_of_the_protocol() {
     let commit = StoreCall::Commit(Default::default());
     let grant_lease = StoreCall::GrantLease {
         ttl: Duration::from_secs(4),
@@ -43,17 +43,17 @@
         (revoke_lease, Method::DELETE, "/holds/3"),
         (watch(), Method::GET, changes),
     ] {
-        let request = request(&call);
+        let request = http_request(&call);
         assert_eq!((request.method, &*request.path), (method, path));
     }
 }
 
 #[test]
-fn a_watch_may_take_longer_than_other_calls() {
+fn watch_timeout_includes_the_wait_time() {
     let keep_alive = StoreCall::KeepAlive { lease: 3 };
     assert_eq!(
-        timeout(&watch()),
+        response_timeout(&watch()),
         Duration::from_secs(1) + constants::WATCH_SLACK
     );
-    assert_eq!(timeout(&keep_alive), constants::STORE_TIMEOUT);
+    assert_eq!(response_timeout(&keep_alive), constants::STORE_TIMEOUT);
 }
--- a/src/store/response/tests.rs
+++ b/src/store/response/tests.rs
@@ -16,23 +16,23 @@
 }
 
 #[test]
-fn a_missing_key_is_no_error() {
-    let reply = read(&get(), &response(404, Vec::new())).unwrap();
+fn missing_key_is_read_as_none() {
+    let reply = decode_response(&get(), &response(404, Vec::new())).unwrap();
     assert_eq!(reply, StoreReply::Item(None));
 }
 
 #[test]
-fn a_failed_comparison_names_its_keys() {
+fn conflict_contains_the_failed_keys() {
     let conflict = Conflict {
         failed_keys: vec!["live/lead".into()],
     };
     let commit = StoreCall::Commit(Default::default());
-    let error = read(&commit, &response(409, encode(&conflict))).unwrap_err();
+    let error = decode_response(&commit, &response(409, encode(&conflict))).unwrap_err();
     assert!(matches!(error, StoreError::Conflict(keys) if keys == ["live/lead"]));
 }
 
 #[test]
-fn an_expired_lease_and_a_compacted_watch_are_told_apart() {
+fn missing_lease_and_compacted_watch_have_distinct_errors() {
     let keep_alive = StoreCall::KeepAlive { lease: 7 };
     let watch = StoreCall::Watch {
         prefix: "live/".into(),
@@ -40,22 +40,22 @@
         wait: Duration::from_secs(1),
     };
     assert!(matches!(
-        read(&keep_alive, &response(404, Vec::new())),
+        decode_response(&keep_alive, &response(404, Vec::new())),
         Err(StoreError::LeaseNotFound)
     ));
     assert!(matches!(
-        read(&watch, &response(410, Vec::new())),
+        decode_response(&watch, &response(410, Vec::new())),
         Err(StoreError::Compacted)
     ));
 }
 
 #[test]
-fn errors_tell_whether_the_call_may_have_been_executed() {
-    let refused = read(&get(), &response(503, Vec::new())).unwrap_err();
+fn errors_distinguish_refused_calls_from_unknown_outcomes() {
+    let refused = decode_response(&get(), &response(503, Vec::new())).unwrap_err();
     assert_eq!(refused.to_string(), "not executed: status 503");
-    let unreadable = read(&get(), &response(200, vec![0])).unwrap_err();
+    let unreadable = decode_response(&get(), &response(200, vec![0])).unwrap_err();
     assert!(matches!(unreadable, StoreError::UnknownOutcome(_)));
-    let malformed = read(&get(), &response(400, vec![b'x'; 200])).unwrap_err();
+    let malformed = decode_response(&get(), &response(400, vec![b'x'; 200])).unwrap_err();
     let shown = "x".repeat(constants::MAX_SHOWN_CHARACTERS);
     assert_eq!(
         malformed.to_string(),
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_record_of_another_form_keeps_its_version() {
+fn unreadable_record_keeps_its_version() {
     let item = Item {
         key: "live/job/run-1".into(),
         value: rmpv::Value::from("text"),
@@ -72,14 +72,14 @@
     };
     let response = response(200, encode(&item));
     assert_eq!(
-        read_record::<String>(&get(), &response).unwrap(),
+        decode_record::<String>(&get(), &response).unwrap(),
         Some(Record::Read {
             record: "text".into(),
             version: 9
         })
     );
     assert_eq!(
-        read_record::<u64>(&get(), &response).unwrap(),
+        decode_record::<u64>(&get(), &response).unwrap(),
         Some(Record::Unreadable { version: 9 })
     );
 }
