--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -7,74 +7,74 @@
 pub struct MachineType {
     /// Name of the type.
     pub name: String,
-    /// CPU cores.
+    /// Number of CPU cores.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory, GB.
     pub memory_gb: f64,
-    /// Space for images, GB.
+    /// Size of the image cache, GB.
     pub cache_gb: f64,
     /// Nominal rate at which images are fetched, GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price per hour.
+    /// Price per hour of an on-demand machine.
     pub price: f64,
-    /// Current price per hour as a spot instance.
+    /// Current price per hour of a spot instance.
     pub spot_price: f64,
-    /// Nominal time to boot, s.
+    /// Nominal boot time in seconds.
     #[serde(rename = "ready_s")]
     pub boot_s: f64,
-    /// Zones that have the type.
+    /// Zones that offer the type.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
 
-/// All machine types.
+/// The list of all machine types that the cloud offers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeList {
-    /// The types.
+    /// The machine types.
     #[serde(rename = "models")]
     pub machine_types: Vec<MachineType>,
 }
 
-/// A request to rent machines. Requests with the same id rent only once.
+/// A request to rent machines. The cloud rents only once for requests with the same id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Idempotency key of the request; never reused for another one.
+    /// Idempotency key of the request; never reused for another request.
     #[serde(rename = "requisition")]
     pub request_id: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "model")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot instances are asked for.
+    /// Whether to rent spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Most machines to rent.
+    /// Maximum number of machines to rent.
     pub count: u64,
 }
 
-/// Names of machines: the response to a rental, and the body of a return.
+/// A list of machine names: the response to a rental request and the body of a return request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// The names.
+    /// Names of the machines.
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
-/// State of a machine as the cloud lists it.
+/// State of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Rented, and not up yet.
+    /// The machine is rented and has not finished booting.
     #[serde(rename = "starting")]
     Booting,
-    /// Up, or dead for less than half a minute.
+    /// The machine runs, or has failed less than 30 s ago.
     Running,
-    /// Stopped by itself; listed until it is returned.
+    /// The machine has stopped without being returned; it is listed until it is returned.
     Failed,
 }
 
@@ -84,16 +84,16 @@
     /// Name of the machine.
     #[serde(rename = "uid")]
     pub id: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "model")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// State at the time that the list describes.
+    /// State of the machine at the time that the list describes.
     #[serde(rename = "status")]
     pub state: MachineState,
     /// Seconds since the rental request, at the time that the list describes.
@@ -104,10 +104,10 @@
 /// A page of the cloud's machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// Machines in order of their names.
+    /// Machines ordered by name.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether further machines follow the last one.
+    /// Whether further pages follow.
     #[serde(rename = "truncated", default)]
     pub has_more: bool,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,7 +1,8 @@
-//! The messages of the platform's protocol, and the only place that knows its field names.
+//! The messages of the platform's protocol.
 //!
-//! Every type here carries serde renames from the project's own terms to the names on the
-//! wire. Bodies are MessagePack maps with text keys.
+//! Bodies are MessagePack maps with text keys. The types use the usual terms of cluster scheduling,
+//! and their serde attributes map these to the field names on the wire, which no other module
+//! encodes or decodes.
 
 pub mod cloud;
 pub mod store;
@@ -11,38 +12,40 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// Why a body could not be read.
+/// Why a body could not be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// The body does not begin with a map.
+    /// The body does not begin with a MessagePack map.
     #[error("body is not a MessagePack map")]
     NotAMap,
     /// The map does not have the form of the message.
     #[error(transparent)]
     Invalid(#[from] rmp_serde::decode::Error),
-    /// The message does not fill the body.
+    /// The body continues after the end of the message.
     #[error("bytes after the message")]
     TrailingBytes,
 }
 
 /// Encodes a message as a MessagePack map.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // Writing to memory fails only for maps of unknown length, which no message here has.
+    // Encoding to memory fails only for maps of unknown length, which no message contains.
     rmp_serde::to_vec_named(message).unwrap_or_default()
 }
 
-/// Decodes one MessagePack map that fills the whole body.
+/// Decodes a message from one MessagePack map that spans the whole body.
 ///
 /// # Errors
 ///
-/// If the body is something else, or not of the message's form.
+/// - [`DecodeError::NotAMap`] if the body does not begin with a map,
+/// - [`DecodeError::Invalid`] if the map does not have the form of the message,
+/// - [`DecodeError::TrailingBytes`] if bytes follow the map.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
-    // Serde would read a struct from a list as well, which the protocol does not allow.
+    // Serde also decodes a struct from an array, which the protocol does not allow.
     match body.first() {
         Some(0x80..=0x8f | 0xde | 0xdf) => {}
         _ => return Err(DecodeError::NotAMap),
     }
-    // Reads text where it stands in the body, without a copy of each key and value.
+    // This deserializer borrows text from the body instead of copying each key and value.
     let mut deserializer = rmp_serde::Deserializer::from_read_ref(body);
     let message = T::deserialize(&mut deserializer)?;
     if !is_at_end(&mut deserializer) {
@@ -51,8 +54,10 @@
     Ok(message)
 }
 
-/// Whether nothing is left to read. The deserializer does not tell how much it has read; but a
-/// boolean consists of its marker alone, so reading one fails for want of a marker only at the end.
+/// Reports whether the deserializer has consumed the whole body.
+///
+/// The deserializer does not expose its position. A MessagePack boolean consists of a marker byte
+/// only, so decoding one fails with a missing marker exactly at the end of the body.
 fn is_at_end<'de>(deserializer: impl Deserializer<'de, Error = rmp_serde::decode::Error>) -> bool {
     matches!(
         bool::deserialize(deserializer),
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -3,16 +3,16 @@
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 
-/// A key with its value: of any form, or of the form that its reader expects.
+/// A key with its value, which is decoded as `V`; by default as a MessagePack value of any form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item<V = Value> {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its value.
+    /// Value of the key.
     #[serde(rename = "data")]
     pub value: V,
-    /// Revision of the key's last change.
+    /// Version of the key: the revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -22,7 +22,7 @@
 pub struct Listing {
     /// Keys with their values, in key order.
     pub items: Vec<Item>,
-    /// Whether further keys follow the last one.
+    /// Whether further pages follow.
     #[serde(rename = "truncated", default)]
     pub has_more: bool,
     /// Revision of the service when the page was read.
@@ -30,13 +30,13 @@
     pub revision: u64,
 }
 
-/// A condition of a transaction: a key must still have this version.
+/// A condition of a transaction: the key must have the expected version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Comparison {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its expected version; 0 if it must not exist.
+    /// The expected version; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Mutation {
-    /// Sets a key's value.
+    /// Sets the value of a key.
     Put {
         /// The key.
         #[serde(rename = "put")]
@@ -65,20 +65,20 @@
     },
 }
 
-/// A compare-and-swap over several keys: all mutations are applied if all comparisons hold, else
-/// none.
+/// A compare-and-swap over several keys: all mutations are applied if all comparisons hold, and
+/// none otherwise.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
     /// Conditions that must hold.
     #[serde(rename = "when")]
     pub comparisons: Vec<Comparison>,
-    /// Changes that are applied together.
+    /// Mutations that are applied atomically.
     #[serde(rename = "writes")]
     pub mutations: Vec<Mutation>,
 }
 
 impl Transaction {
-    /// Adds the condition that `key` still has `version` (0: does not exist).
+    /// Adds the condition that `key` has `version`, or does not exist if `version` is 0.
     pub fn compare(mut self, key: impl Into<String>, version: u64) -> Self {
         self.comparisons.push(Comparison {
             key: key.into(),
@@ -87,7 +87,7 @@
         self
     }
 
-    /// Adds a put without a lease.
+    /// Adds a mutation that sets a key without attaching it to a lease.
     pub fn put(mut self, key: impl Into<String>, value: Value) -> Self {
         self.mutations.push(Mutation::Put {
             key: key.into(),
@@ -97,7 +97,7 @@
         self
     }
 
-    /// Adds a put that attaches the key to a lease.
+    /// Adds a mutation that sets a key and attaches it to a lease.
     pub fn put_with_lease(mut self, key: impl Into<String>, value: Value, lease: u64) -> Self {
         self.mutations.push(Mutation::Put {
             key: key.into(),
@@ -107,7 +107,7 @@
         self
     }
 
-    /// Adds a deletion.
+    /// Adds a mutation that deletes a key.
     pub fn delete(mut self, key: impl Into<String>) -> Self {
         self.mutations.push(Mutation::Delete { key: key.into() });
         self
@@ -117,7 +117,7 @@
 /// The response to a committed transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// Revision of all changes of the transaction.
+    /// Revision of the transaction's changes.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
@@ -133,11 +133,11 @@
 /// A request for a new lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantLeaseRequest {
-    /// Time to live, ms.
+    /// Time to live of the lease in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// The response to a request for a lease.
+/// The response to a granted lease request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGranted {
     /// Id of the lease.
@@ -145,9 +145,9 @@
     pub lease: u64,
 }
 
-/// A change that a watch tells of.
+/// A change that a watch reports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-// The text of a malformed event stays as it was before the type's name changed.
+// Keeps the error text for a malformed event, which contains the former name of the type.
 #[serde(
     untagged,
     expecting = "data did not match any variant of untagged enum Event"
@@ -179,9 +179,9 @@
 /// The response to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// Revision up to which the events are complete.
+    /// Revision up to which `events` is complete.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
-    /// Changes in order.
+    /// Changes in the order of their revisions.
     pub events: Vec<WatchEvent>,
 }
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Decodes a body with a copy of each text, the slower way to which [`decode`] is compared.
+/// Decodes a body by copying each text: the slower reference with which [`decode`] is compared.
 fn decode_by_copying<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     if !matches!(body.first(), Some(0x80..=0x8f | 0xde | 0xdf)) {
         return None;
@@ -12,8 +12,8 @@
     rest.is_empty().then_some(message)
 }
 
-/// Damages a body: bytes changed, cut off, added or repeated.
-fn damage(body: &mut Vec<u8>, random: &mut SmallRng) {
+/// Applies up to three random changes to a body: bytes are replaced, cut off, inserted or repeated.
+fn corrupt(body: &mut Vec<u8>, random: &mut SmallRng) {
     for _ in 0..random.random_range(0..4) {
         let at = random.random_range(0..body.len());
         match random.random_range(0..4) {
@@ -55,51 +55,52 @@
     }
 }
 
-/// Damages the encoded message, and checks that reading in place tells the same as reading by
-/// copying. Returns whether the body could be read.
-fn assert_decoded_alike<T>(message: &T, random: &mut SmallRng, context: &str) -> bool
+/// Corrupts the encoded message, asserts that decoding in place gives the same result as decoding
+/// by copying, and returns whether the body could be decoded.
+fn assert_decoders_agree<T>(message: &T, random: &mut SmallRng, context: &str) -> bool
 where
     T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug,
 {
     let mut body = encode(message);
-    damage(&mut body, random);
-    let copied = decode_by_copying::<T>(&body);
-    assert_eq!(decode::<T>(&body).ok(), copied, "{context}");
-    copied.is_some()
+    corrupt(&mut body, random);
+    let expected = decode_by_copying::<T>(&body);
+    assert_eq!(decode::<T>(&body).ok(), expected, "{context}");
+    expected.is_some()
 }
 
-/// Whole bodies and damaged ones.
+/// Guards against differences between decoding in place and decoding by copying, for intact and
+/// corrupted bodies.
 #[test]
-fn bodies_read_in_place_are_the_same_as_copied_ones() {
+fn decoding_in_place_equals_decoding_by_copying() {
     let heartbeat = heartbeat();
     let item = item();
     let seed = 7;
     let mut random = SmallRng::seed_from_u64(seed);
-    let (mut read, mut refused) = (0, 0);
+    let (mut decoded, mut rejected) = (0, 0);
     for round in 0..20_000 {
         let context = format!("seed {seed}, round {round}");
-        let was_read = assert_decoded_alike(&heartbeat, &mut random, &context);
-        read += usize::from(was_read);
-        refused += usize::from(!was_read);
-        assert_decoded_alike(&item, &mut random, &context);
+        let is_decoded = assert_decoders_agree(&heartbeat, &mut random, &context);
+        decoded += usize::from(is_decoded);
+        rejected += usize::from(!is_decoded);
+        assert_decoders_agree(&item, &mut random, &context);
     }
     assert!(
-        read > 1_000 && refused > 1_000,
-        "{read} read, {refused} not"
+        decoded > 1_000 && rejected > 1_000,
+        "{decoded} decoded, {rejected} rejected"
     );
 }
 
 #[test]
-fn only_whole_maps_are_read() {
+fn bodies_other_than_one_whole_map_are_rejected() {
     let lease = store::GrantLeaseRequest { ttl_ms: 5 };
     let body = encode(&lease);
     assert_eq!(decode::<store::GrantLeaseRequest>(&body).unwrap().ttl_ms, 5);
-    let mut long = body.clone();
-    long.push(0);
-    assert!(decode::<store::GrantLeaseRequest>(&long).is_err());
-    let list = rmp_serde::to_vec(&lease).unwrap();
+    let mut extended = body.clone();
+    extended.push(0);
+    assert!(decode::<store::GrantLeaseRequest>(&extended).is_err());
+    let array = rmp_serde::to_vec(&lease).unwrap();
     assert!(matches!(
-        decode::<store::GrantLeaseRequest>(&list),
+        decode::<store::GrantLeaseRequest>(&array),
         Err(DecodeError::NotAMap)
     ));
     assert!(decode::<store::GrantLeaseRequest>(&[]).is_err());
--- a/src/wire/user/tests.rs
+++ b/src/wire/user/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::wire::{decode, encode};
 
-/// A valid submission with these values, and usual ones for all other fields.
+/// Returns a valid submission with these values and typical values in all other fields.
 pub(crate) fn job(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
     JobSubmission {
         id: id.into(),
@@ -29,9 +29,9 @@
 }
 
 #[test]
-fn submissions_are_checked() {
+fn invalid_submissions_are_rejected() {
     assert!(job("run-000412", JobKind::Array, 3).validate().is_ok());
-    let mut bad = vec![
+    let mut invalid = vec![
         job("run-", JobKind::Array, 1),
         job("run-12x", JobKind::Array, 1),
         job("run-1", JobKind::Array, 0),
@@ -40,17 +40,17 @@
     for cpus in [f64::NAN, f64::INFINITY, -1.0] {
         let mut submission = job("run-1", JobKind::Array, 1);
         submission.cpus = cpus;
-        bad.push(submission);
+        invalid.push(submission);
     }
-    let mut long = job("run-1", JobKind::Array, 1);
-    long.machine_types = Some(vec!["x".repeat(3000)]);
-    bad.push(long);
-    for submission in bad {
+    let mut too_long = job("run-1", JobKind::Array, 1);
+    too_long.machine_types = Some(vec!["x".repeat(3000)]);
+    invalid.push(too_long);
+    for submission in invalid {
         assert!(submission.validate().is_err(), "{submission:?}");
     }
 }
 
-/// Sets a field of the map, named as on the wire.
+/// Sets a field of the encoded map; `name` is the field's name on the wire.
 fn set_field(message: &mut rmpv::Value, name: &str, number: i64) {
     let rmpv::Value::Map(fields) = message else {
         panic!("not a map");
@@ -63,12 +63,12 @@
 }
 
 #[test]
-fn numbers_may_be_whole_or_not_but_counts_are_whole() {
-    let good = job("run-1", JobKind::Gang, 2);
-    let mut message: rmpv::Value = rmp_serde::from_slice(&encode(&good)).unwrap();
+fn amounts_accept_integers_and_negative_counts_are_rejected() {
+    let submission = job("run-1", JobKind::Gang, 2);
+    let mut message: rmpv::Value = rmp_serde::from_slice(&encode(&submission)).unwrap();
     set_field(&mut message, "vcpus", 4);
-    let read: JobSubmission = decode(&encode(&message)).unwrap();
-    assert_eq!(read.cpus, 4.0);
+    let decoded: JobSubmission = decode(&encode(&message)).unwrap();
+    assert_eq!(decoded.cpus, 4.0);
     set_field(&mut message, "pieces", -2);
     assert!(decode::<JobSubmission>(&encode(&message)).is_err());
 }
--- a/src/wire/user/validation.rs
+++ b/src/wire/user/validation.rs
@@ -1,26 +1,28 @@
-//! What can be told of a submission by itself, without settings and state.
+//! Validation of a submission on its own, without settings and cluster state.
 
 use super::JobSubmission;
 
-/// Most tasks of one job.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// Most bytes of a text in a submission (names of teams, images, types); ids of keys stay below
-/// the state service's 200 bytes.
+/// Maximum length in bytes of a text in a submission (names of classes, teams, images and zones).
+/// Keys of the state service that contain an id stay below its limit of 200 bytes.
 const MAX_TEXT_BYTES: usize = 120;
-/// Most jobs that one may depend on.
+/// Maximum number of jobs that a job may depend on.
 pub const MAX_DEPENDENCIES: usize = 64;
-/// Most bytes of a list of machine types, with four bytes for each one's separators.
+/// Maximum size in bytes of a list of machine types, counting four bytes of separators for each
+/// name.
 const MAX_MACHINE_TYPES_BYTES: usize = 2048;
-/// Largest amount in a submission: far above any machine or day, far below where integer units
-/// would overflow.
+/// Largest amount in a submission. This is far above the resources of any machine and the seconds
+/// of a day, and far below the amounts whose conversion to integer units would overflow.
 const MAX_AMOUNT: f64 = 1e9;
-/// Most digits of a job id.
+/// Maximum number of digits in a job id.
 const MAX_ID_DIGITS: usize = 20;
 
-/// What is wrong with a submission by itself. The texts name fields as on the wire: users see them.
+/// Why a submission is invalid on its own. The texts contain the field names on the wire because
+/// users read them.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSubmission {
-    /// The job's id does not have the form of one.
+    /// The job's id does not have the form of a job id.
     #[error("uid: expected run- and digits")]
     JobId,
     /// A name is empty or too long.
@@ -32,29 +34,30 @@
     /// The number of tasks is 0 or too large.
     #[error("pieces: expected 1 to {MAX_TASKS}")]
     TaskCount,
-    /// An amount is negative, too large or not a number.
+    /// An amount is negative, too large or not a finite number.
     #[error("{field}: expected a number from 0 to 1e9")]
     Amount {
         /// The field's name on the wire.
         field: &'static str,
     },
-    /// The list of machine types is too long.
+    /// The names of the machine types are too long in total.
     #[error("models: expected at most {MAX_MACHINE_TYPES_BYTES} bytes in all")]
     MachineTypesLength,
     /// The zone's name is too long.
     #[error("yard: expected at most {MAX_TEXT_BYTES} bytes")]
     ZoneLength,
-    /// Too many dependencies, or one is not a job id.
+    /// There are too many dependencies, or one of them is not a job id.
     #[error("awaits: expected at most {MAX_DEPENDENCIES} job ids")]
     Dependencies,
 }
 
 impl JobSubmission {
-    /// Checks everything that can be told from the submission alone.
+    /// Checks all rules that depend on the submission alone.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong.
+    /// The first violation found, in this order: job id, names, number of tasks, amounts, machine
+    /// types, zone, dependencies.
     pub fn validate(&self) -> Result<(), InvalidSubmission> {
         if !is_valid_job_id(&self.id) {
             return Err(InvalidSubmission::JobId);
@@ -67,6 +70,7 @@
         self.validate_lengths()
     }
 
+    /// Checks the lengths of the class, team and image names.
     fn validate_names(&self) -> Result<(), InvalidSubmission> {
         let names = [
             ("docket", &self.class),
@@ -81,6 +85,7 @@
         Ok(())
     }
 
+    /// Checks that all amounts are finite and within 0 to [`MAX_AMOUNT`].
     fn validate_amounts(&self) -> Result<(), InvalidSubmission> {
         let amounts = [
             ("vcpus", self.cpus),
@@ -100,7 +105,8 @@
         Ok(())
     }
 
-    /// A record must fit into one value of the state service, whatever the user writes.
+    /// Checks the sizes of the optional fields, so that the record of any valid submission fits
+    /// into one value of the state service.
     fn validate_lengths(&self) -> Result<(), InvalidSubmission> {
         let machine_types = self.machine_types.iter().flatten();
         let machine_types_bytes: usize = machine_types.map(|name| name.len() + 4).sum();
@@ -119,7 +125,7 @@
     }
 }
 
-/// Whether this is a job id as users form them: `run-` and digits.
+/// Reports whether the text has the form of a job id: `run-` followed by digits.
 pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("run-").is_some_and(|digits| {
         !digits.is_empty()
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -6,17 +6,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// The machine fetches the task's image.
+    /// The machine is fetching the task's image.
     Fetching,
-    /// A gang task that waits for the gang's other tasks.
+    /// The task waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// The task runs.
+    /// The task is running.
     Running,
-    /// The task was told to stop and writes a checkpoint.
+    /// The task was told to stop and is writing a checkpoint.
     #[serde(rename = "saving")]
     Checkpointing,
-    /// The task has ended; the worker reports it until it is told to forget it.
+    /// The task has exited; the worker reports the task until it receives
+    /// [`WorkerCommand::Forget`].
     #[serde(rename = "ended")]
     Exited,
 }
@@ -24,48 +25,48 @@
 /// Why a task has exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// The task has done its work.
+    /// The task completed its work.
     #[serde(rename = "done")]
     Completed,
-    /// Stopped by command.
+    /// The task was stopped by a command.
     #[serde(rename = "stopped")]
     Stopped,
-    /// Another task of its gang is gone.
+    /// Another task of the gang was lost.
     #[serde(rename = "peers")]
     GangPeerLost,
-    /// Its gang was not complete in time.
+    /// Not all tasks of the gang arrived in time.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// The task failed, mostly because of its machine.
+    /// The task failed, usually because of its machine.
     #[serde(rename = "error")]
     Failed,
-    /// Start refused: the machine lacks free resources.
+    /// The worker refused the start because the machine lacks free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Start refused: another attempt of the task is on the machine.
+    /// The worker refused the start because another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     AttemptConflict,
-    /// Start refused: the worker finds no such job or task.
+    /// The worker refused the start because it found no such job or task.
     #[serde(rename = "no_such")]
     UnknownTask,
 }
 
-/// One task in a heartbeat.
+/// Status of one task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Task {
-    /// Job id and task index, as `<job>/<index>`.
+    /// Task id, as `<job>/<index>`.
     #[serde(rename = "piece")]
     pub task: String,
     /// Attempt number, chosen by the leader that started the task.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Where the task stands.
+    /// State of the task.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Set once the task has exited.
+    /// Why the task exited; set once it has exited.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether a stopped task wrote its checkpoint.
+    /// Whether a stopped task saved its checkpoint.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub checkpoint_saved: Option<bool>,
 }
@@ -76,27 +77,29 @@
     /// Name of the machine, chosen by the cloud.
     #[serde(rename = "host")]
     pub machine: String,
-    /// Where the worker takes direct commands, as `ip:port`.
+    /// Address at which the worker takes direct commands, as `ip:port`.
     pub address: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "model")]
     pub machine_type: String,
-    /// Zone of the machine.
+    /// Name of the machine's zone.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether the machine is a spot instance.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Raised each time the worker has lost its lease and all tasks with it.
+    /// Incarnation of the worker, raised each time the worker loses its lease and with it all
+    /// tasks.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Raised with each heartbeat and each executed direct command of an incarnation.
+    /// Sequence number, raised with each heartbeat and each executed direct command of an
+    /// incarnation.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
     #[serde(rename = "warrant")]
     pub fencing_token: u64,
-    /// Seconds until the cloud takes a spot instance back, if it has given notice.
+    /// Seconds until the cloud preempts the spot instance, if it has given notice.
     #[serde(rename = "recall_s", default)]
     pub preemption_notice_s: Option<f64>,
     /// All tasks on the machine, exited ones included.
@@ -104,36 +107,36 @@
     pub tasks: Vec<Task>,
 }
 
-/// What a worker is told to do with one attempt of a task.
+/// A command to a worker about one attempt of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "lowercase")]
 pub enum WorkerCommand {
-    /// Start the attempt; no effect if the worker has it already.
+    /// Starts the attempt; has no effect if the worker already has it.
     #[serde(rename = "launch")]
     Start {
-        /// Job id and task index.
+        /// Task id, as `<job>/<index>`.
         #[serde(rename = "piece")]
         task: String,
         /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop the attempt.
+    /// Stops the attempt.
     #[serde(rename = "kill")]
     Stop {
-        /// Job id and task index.
+        /// Task id, as `<job>/<index>`.
         #[serde(rename = "piece")]
         task: String,
         /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds in which the task may write a checkpoint.
+        /// Seconds that the task has to write a checkpoint.
         #[serde(rename = "wind_down_s")]
         grace_s: u64,
     },
-    /// Leave the exited attempt out of further heartbeats.
+    /// Removes the exited attempt from further heartbeats.
     Forget {
-        /// Job id and task index.
+        /// Task id, as `<job>/<index>`.
         #[serde(rename = "piece")]
         task: String,
         /// Attempt number.
@@ -142,35 +145,35 @@
     },
 }
 
-/// The response to an accepted heartbeat; it renews the worker's lease.
+/// The response to an accepted heartbeat, which renews the worker's lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// Fencing token of the responding leader.
     #[serde(rename = "warrant")]
     pub fencing_token: u64,
-    /// Commands, executed in order.
+    /// Commands, which the worker executes in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
 
-/// The response that sends a worker to the leader.
+/// The response that redirects a worker to the leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRedirect {
-    /// Name of the leader's node, if it is known.
+    /// Name of the leader's node, if the leader is known.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
 }
 
-/// Commands that are sent to a worker directly. They do not renew its lease.
+/// Commands sent directly to a worker. They do not renew the worker's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Fencing token of the sender.
+    /// Fencing token of the leader that sends the commands.
     #[serde(rename = "warrant")]
     pub fencing_token: u64,
-    /// The incarnation that the commands are for.
+    /// Incarnation of the worker for which the commands are meant.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Commands, executed in order.
+    /// Commands, which the worker executes in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
