--- a/src/autoscaler/tests.rs
+++ b/src/autoscaler/tests.rs
@@ -3,7 +3,7 @@
 use crate::model::{Timestamp, UnixTime};
 use crate::placement::TasksByZone;
 use crate::settings::{ObjectiveKind, ServiceLevelObjective};
-use crate::wire::user::{JobKind, JobSubmission, tests::job as job_submission};
+use crate::wire::user::{JobKind, JobSubmission, tests::job_submission};
 use std::time::Duration;
 
 /// Two types in two zones: the big one has four times the GPUs of the small one at twice the price.
--- a/src/engine/records/tests.rs
+++ b/src/engine/records/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::constants::{LEGACY_PROGRESS_RECORD_TASKS, PROGRESS_RECORD_TASKS};
 use crate::model::TaskSet;
-use crate::wire::user::{JobKind, tests::job};
+use crate::wire::user::{JobKind, tests::job_submission};
 
 #[test]
 fn records_survive_the_state_service() {
     let record = JobRecord::new(
-        job("run-7", JobKind::Gang, 2),
+        job_submission("run-7", JobKind::Gang, 2),
         UnixTime::from_millis(1_700_000_000_000),
     );
     assert_eq!(read_job(job_value(&record)).unwrap(), record);
@@ -64,7 +64,7 @@
 }
 
 fn gang() -> JobRecord {
-    let mut job = job("run-7", JobKind::Gang, 2);
+    let mut job = job_submission("run-7", JobKind::Gang, 2);
     job.machine_types = Some(vec!["g8".into()]);
     job.zone = Some("east".into());
     job.deadline_s = Some(900.0);
@@ -177,7 +177,7 @@
 
 /// A job of the first version with pipelines, submitted two seconds after its cluster began.
 fn submitted(id: &str, kind: JobKind, tasks: u64, awaits: &[&str]) -> JobRecord {
-    let mut job = job(id, kind, tasks);
+    let mut job = job_submission(id, kind, tasks);
     job.expected_duration_s = 10.0;
     job.depends_on = awaits.iter().map(|id| (*id).to_owned()).collect();
     JobRecord::new(job, UnixTime::from_millis(2_000))
--- a/src/engine/test_support.rs
+++ b/src/engine/test_support.rs
@@ -4,7 +4,7 @@
 use super::jobs::Jobs;
 use crate::model::{Job, JobId, JobPhase, JobSpec, Placement, PlacementStage, Timestamp, UnixTime};
 use crate::settings::{Settings, tests::SAMPLE};
-use crate::wire::user::{JobKind, JobSubmission, tests::job as submission};
+use crate::wire::user::{JobKind, JobSubmission, tests::job_submission as submission};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/src/engine/tests/dependencies/production_records.rs
+++ b/src/engine/tests/dependencies/production_records.rs
@@ -3,7 +3,7 @@
 use super::super::simulated_cluster::SimulatedCluster;
 use super::super::support::{assert_completes, dependent_job};
 use super::production;
-use crate::wire::user::tests::job;
+use crate::wire::user::tests::job_submission;
 use crate::wire::user::{JobKind, JobState};
 
 fn restart_all_nodes(cluster: &mut SimulatedCluster, meanwhile: impl Fn(&mut SimulatedCluster)) {
@@ -20,7 +20,7 @@
 fn records_of_production_version_leaders_are_carried_on() {
     let mut cluster = SimulatedCluster::new(3, 8.0);
     restart_all_nodes(&mut cluster, |cluster| {
-        let mut gang = job("run-7", JobKind::Gang, 2);
+        let mut gang = job_submission("run-7", JobKind::Gang, 2);
         gang.expected_duration_s = 20.0;
         cluster.jobs.insert("run-7".into(), gang);
         cluster.put_record("term", production!("term"));
--- a/src/engine/tests/support.rs
+++ b/src/engine/tests/support.rs
@@ -2,12 +2,12 @@
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
 use crate::wire::user::JobKind;
-use crate::wire::user::tests::job;
+use crate::wire::user::tests::job_submission;
 use crate::wire::user::{JobSubmission, Priority};
 
 /// A job that ends after ten seconds, or a service.
 pub(crate) fn short_job(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
-    let mut job = job(id, kind, tasks);
+    let mut job = job_submission(id, kind, tasks);
     job.expected_duration_s = if kind == JobKind::Service { 0.0 } else { 10.0 };
     job
 }
--- a/src/placement/consolidation/tests.rs
+++ b/src/placement/consolidation/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::placement::tests::snapshot;
-use crate::wire::user::{JobKind, tests::job as job_submission};
+use crate::wire::user::{JobKind, tests::job_submission};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/src/placement/preemption/tests.rs
+++ b/src/placement/preemption/tests.rs
@@ -2,7 +2,7 @@
 use crate::model::UnixTime;
 use crate::model::{JobPhase, PlacementStage};
 use crate::placement::tests::{candidate, snapshot};
-use crate::wire::user::{JobKind, tests::job as job_submission};
+use crate::wire::user::{JobKind, tests::job_submission};
 use crate::wire::worker::TaskState;
 
 /// A job whose first tasks run on `machines`, one on each.
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -3,7 +3,7 @@
 use crate::model::{Job, JobId, JobPhase, JobSpec, Resources};
 use crate::model::{Timestamp, UnixTime};
 use crate::settings::Limit;
-use crate::wire::user::{JobKind, JobSubmission, tests::job as job_submission};
+use crate::wire::user::{JobKind, JobSubmission, tests::job_submission};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/src/wire/user/tests.rs
+++ b/src/wire/user/tests.rs
@@ -2,7 +2,7 @@
 use crate::wire::{decode, encode};
 
 /// Returns a valid submission with these values and typical values in all other fields.
-pub(crate) fn job(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
+pub(crate) fn job_submission(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
     JobSubmission {
         id: id.into(),
         class: "train".into(),
@@ -30,19 +30,23 @@
 
 #[test]
 fn invalid_submissions_are_rejected() {
-    assert!(job("run-000412", JobKind::Array, 3).validate().is_ok());
+    assert!(
+        job_submission("run-000412", JobKind::Array, 3)
+            .validate()
+            .is_ok()
+    );
     let mut invalid = vec![
-        job("run-", JobKind::Array, 1),
-        job("run-12x", JobKind::Array, 1),
-        job("run-1", JobKind::Array, 0),
-        job("run-1", JobKind::Array, 100_001),
+        job_submission("run-", JobKind::Array, 1),
+        job_submission("run-12x", JobKind::Array, 1),
+        job_submission("run-1", JobKind::Array, 0),
+        job_submission("run-1", JobKind::Array, 100_001),
     ];
     for cpus in [f64::NAN, f64::INFINITY, -1.0] {
-        let mut submission = job("run-1", JobKind::Array, 1);
+        let mut submission = job_submission("run-1", JobKind::Array, 1);
         submission.cpus = cpus;
         invalid.push(submission);
     }
-    let mut too_long = job("run-1", JobKind::Array, 1);
+    let mut too_long = job_submission("run-1", JobKind::Array, 1);
     too_long.machine_types = Some(vec!["x".repeat(3000)]);
     invalid.push(too_long);
     for submission in invalid {
@@ -64,7 +68,7 @@
 
 #[test]
 fn amounts_accept_integers_and_negative_counts_are_rejected() {
-    let submission = job("run-1", JobKind::Gang, 2);
+    let submission = job_submission("run-1", JobKind::Gang, 2);
     let mut message: rmpv::Value = rmp_serde::from_slice(&encode(&submission)).unwrap();
     set_field(&mut message, "vcpus", 4);
     let decoded: JobSubmission = decode(&encode(&message)).unwrap();
