--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -197,11 +197,11 @@
 pub struct MachineType {
     /// Name of the type.
     pub name: Arc<str>,
-    /// Resources of a machine.
+    /// Resources that a machine of the type provides.
     pub capacity: Resources,
     /// Size of the image cache, GB.
     pub cache_gb: f64,
-    /// Rate at which images are fetched, GB per second.
+    /// Rate at which a machine fetches images, GB per second.
     pub fetch_gb_per_s: f64,
     /// Price per hour of an on-demand machine.
     pub price: f64,
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -20,16 +20,16 @@
     #[error("{0}")]
     Io(#[from] std::io::Error),
     /// The frame is empty, or its length exceeds [`constants::MAX_PEER_FRAME_BYTES`].
-    #[error("frame of {0} bytes")]
+    #[error("invalid frame length: {0} bytes")]
     InvalidLength(usize),
     /// The frame has another protocol version than [`constants::PEER_VERSION`].
-    #[error("version {0}, expected {expected}", expected = constants::PEER_VERSION)]
+    #[error("peer protocol version {0}, expected {expected}", expected = constants::PEER_VERSION)]
     VersionMismatch(u8),
     /// The message in the frame cannot be decoded, or a message cannot be encoded.
-    #[error("undecodable frame: {0}")]
+    #[error("message can't be encoded or decoded: {0}")]
     Decode(#[from] postcard::Error),
     /// The peer did not send or answer a message within the timeout.
-    #[error("no answer in time")]
+    #[error("peer timed out")]
     Timeout,
 }
 
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -14,14 +14,14 @@
     LeaseNotFound,
     /// The service no longer keeps the changes that the watch asks for, or they exceed the largest
     /// response that is read.
-    #[error("changes no longer kept, or too many")]
+    #[error("changes are no longer kept or exceed the response limit")]
     Compacted,
     /// The call was certainly not executed.
     #[error("not executed: {0}")]
     NotExecuted(#[from] NotExecutedCause),
     /// No readable response arrived: the call may have been executed, or may still be executed
     /// later.
-    #[error("no answer: {0}")]
+    #[error("outcome unknown: {0}")]
     UnknownOutcome(#[from] UnknownOutcomeCause),
     /// The service rejected the request as malformed, or its response does not match the call.
     #[error("bad request or answer: {0}")]
@@ -32,7 +32,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum NotExecutedCause {
     /// The rate limiter has no token left for a user's call.
-    #[error("no token left for users")]
+    #[error("no rate-limit token left for a user's call")]
     NoTokens,
     /// The service refused the call with this HTTP status code.
     #[error("status {0}")]
@@ -71,7 +71,7 @@
         text: String,
     },
     /// The response belongs to another kind of call.
-    #[error("unexpected answer")]
+    #[error("response does not match the call")]
     UnexpectedResponse,
     /// The final record of a job has an unknown form.
     #[error("final record of {job} can't be read")]
--- a/src/store/error/tests.rs
+++ b/src/store/error/tests.rs
@@ -13,7 +13,7 @@
         ),
         (
             NotExecutedCause::NoTokens.into(),
-            "not executed: no token left for users",
+            "not executed: no rate-limit token left for a user's call",
         ),
         (
             NotExecutedCause::Status(503).into(),
@@ -25,11 +25,11 @@
         ),
         (
             UnknownOutcomeCause::from(timeout).into(),
-            "no answer: no answer: timed out",
+            "outcome unknown: no answer: timed out",
         ),
         (
             undecodable.into(),
-            "no answer: unreadable answer: body is not a MessagePack map",
+            "outcome unknown: unreadable answer: body is not a MessagePack map",
         ),
         (
             StoreError::Malformed("status 400: no".into()),
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -100,7 +100,7 @@
     /// Seconds from the submission to the deadline of the job, if it has one.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each named once.
+    /// Ids of the jobs that must be done before any task of this job starts, without duplicates.
     #[serde(
         rename = "awaits",
         default,
