--- a/src/model/task_set.rs
+++ b/src/model/task_set.rs
@@ -68,7 +68,7 @@
         self.count == 0
     }
 
-    /// Iterates over the members in ascending order.
+    /// Iterates over the members in ascending order, skipping empty words of the bitmap.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.words.iter().enumerate().flat_map(|(position, word)| {
             let mut remaining = *word;
