--- a/src/engine/jobs/tests.rs
+++ b/src/engine/jobs/tests.rs
@@ -26,7 +26,7 @@
 fn forgetting_leader_state_clears_placements_and_completions() {
     let mut job = job(JobKind::Array, 2);
     job.place(0, placement(PlacementStage::Planned));
-    job.complete(1);
+    job.complete_task(1);
     let mut jobs = jobs_with(job);
     jobs.forget_leader_state();
     let job = jobs.get(&"run-1".into()).unwrap();
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -201,7 +201,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ProgressRecord {
     /// Bitmap of the part's completed tasks as hexadecimal text, see
-    /// [`crate::model::TaskSet::part_text`].
+    /// [`crate::model::TaskSet::encode_part`].
     pub done: String,
 }
 
--- a/src/engine/rounds/tests.rs
+++ b/src/engine/rounds/tests.rs
@@ -107,7 +107,7 @@
     assert!(rounds.close_finished(&jobs).is_empty());
     let job = jobs.get_mut(&"run-1".into()).unwrap();
     job.remove_placement(0);
-    job.complete(0);
+    job.complete_task(0);
     assert!(
         rounds.close_finished(&jobs).is_empty(),
         "completion is not durable yet"
