--- a/benches/load/state_service.rs
+++ b/benches/load/state_service.rs
@@ -49,7 +49,7 @@
 }
 
 async fn list(State(service): Shared, Query(query): Query<ListQuery>) -> Vec<u8> {
-    encode(&service.records().list(&query))
+    encode(&service.records().list_page(&query))
 }
 
 async fn commit(State(service): Shared, body: Bytes) -> Reply {
@@ -64,7 +64,7 @@
 }
 
 async fn new_lease(State(service): Shared) -> Vec<u8> {
-    encode(&service.records().new_lease())
+    encode(&service.records().grant_lease())
 }
 
 async fn changes(State(service): Shared, Query(query): Query<WatchQuery>) -> Vec<u8> {
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -98,7 +98,7 @@
     }
 
     /// A page of the keys with a prefix, after that key if one is given.
-    pub(crate) fn list(&self, query: &ListQuery) -> wire::Listing {
+    pub(crate) fn list_page(&self, query: &ListQuery) -> wire::Listing {
         let (under, after) = (&*query.under, query.after.as_deref());
         let from = after.unwrap_or(under);
         let mut keys = self
@@ -182,7 +182,7 @@
     }
 
     /// Grants a new lease.
-    pub(crate) fn new_lease(&mut self) -> wire::LeaseGranted {
+    pub(crate) fn grant_lease(&mut self) -> wire::LeaseGranted {
         self.leases += 1;
         wire::LeaseGranted { lease: self.leases }
     }
--- a/tests/support/state_service.rs
+++ b/tests/support/state_service.rs
@@ -94,7 +94,7 @@
 }
 
 async fn list(State(service): Shared, Query(query): Query<ListQuery>) -> Vec<u8> {
-    encode(&service.records.lock().unwrap().list(&query))
+    encode(&service.records.lock().unwrap().list_page(&query))
 }
 
 async fn commit(State(service): Shared, body: Bytes) -> Reply {
@@ -110,7 +110,7 @@
 }
 
 async fn new_lease(State(service): Shared) -> Vec<u8> {
-    encode(&service.records.lock().unwrap().new_lease())
+    encode(&service.records.lock().unwrap().grant_lease())
 }
 
 async fn renew_lease() -> StatusCode {
