--- a/tests/bad_input/requests.rs
+++ b/tests/bad_input/requests.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{heartbeat, submission};
 use super::mutations::encode;
-use super::support::{TIMEOUT, map, ready_node_where};
+use super::support::{TIMEOUT, map, start_ready_node_with_settings};
 use super::{Case, assert_fixture};
 use rmpv::Value;
 use std::net::SocketAddr;
@@ -201,8 +201,9 @@
 #[tokio::test]
 async fn responses_to_bad_requests() {
     let speech = "name = \"speech\"\ngpus_max = ";
-    let node =
-        ready_node_where(|text| text.replace(&format!("{speech}8.0"), &format!("{speech}2.0")));
+    let node = start_ready_node_with_settings(|text| {
+        text.replace(&format!("{speech}8.0"), &format!("{speech}2.0"))
+    });
     let node = node.await;
     let mut cases = Vec::new();
     let mut requests = submissions();
@@ -213,7 +214,7 @@
         let name = name.to_owned();
         cases.push(Case { name, outcome });
     }
-    node.service.down.store(true, Ordering::Relaxed);
+    node.service.unavailable.store(true, Ordering::Relaxed);
     let path = "/submissions/run-000999";
     let outcome = outcome_of(node.front, "GET", path, &[]).await;
     let name = "state service refuses".to_owned();
--- a/tests/dependencies_http/main.rs
+++ b/tests/dependencies_http/main.rs
@@ -1,6 +1,6 @@
-//! Jobs that depend on others, as users see them over HTTP.
+//! Tests over HTTP of jobs that depend on other jobs.
 
-// Helpers of a test may panic: that is how it fails.
+// A test fails by a panic, also in its helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod states;
--- a/tests/dependencies_http/submissions.rs
+++ b/tests/dependencies_http/submissions.rs
@@ -1,17 +1,18 @@
-//! Submissions that depend on other jobs.
+//! Tests of submissions that depend on other jobs.
 
 use crate::support::TIMEOUT;
-use crate::user::{final_record, ready_node, reply, submission};
+use crate::user::{final_record, reply, start_ready_node, submission};
 use std::sync::atomic::Ordering;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Guards against 422 for a job that was accepted: by another node a moment ago, which this one
-/// does not know yet, by another team, or so long ago that only its final record is left.
+/// Guards against 422 for a submission whose dependency was accepted. The dependency may have been
+/// accepted by another node whose write this node has not seen yet, for another team, or so long ago
+/// that only its final record remains.
 #[tokio::test]
-async fn any_accepted_job_may_be_a_dependency() {
-    let (user, service) = ready_node().await;
-    service.silent.store(true, Ordering::Relaxed);
+async fn submission_may_depend_on_any_accepted_job() {
+    let (user, service) = start_ready_node().await;
+    service.hides_changes.store(true, Ordering::Relaxed);
     let accepted = reply(201, "queued");
     assert_eq!(
         user.submit(submission("run-1", "speech", &[])).await,
@@ -20,25 +21,25 @@
     service.put_without_change("final/run-2", final_record("done"));
     service.put_without_change("final/run-3", final_record("aborted"));
     service.put_without_change("live/job/run-4", "not a record".into());
-    for (id, named) in [
+    for (id, dependency) in [
         ("run-11", "run-1"),
         ("run-12", "run-2"),
         ("run-13", "run-3"),
         ("run-14", "run-4"),
     ] {
-        let answer = user.submit(submission(id, "vision", &[named])).await;
-        assert_eq!(answer, accepted, "{named}");
+        let response = user.submit(submission(id, "vision", &[dependency])).await;
+        assert_eq!(response, accepted, "{dependency}");
     }
-    let never = submission("run-15", "vision", &["run-1", "run-5"]);
-    assert_eq!(user.submit(never).await.status, 422);
+    let never_accepted = submission("run-15", "vision", &["run-1", "run-5"]);
+    assert_eq!(user.submit(never_accepted).await.status, 422);
 }
 
-/// Guards against a final refusal while the state service can't tell whether a dependency was
-/// accepted: 422 would not be retried.
+/// Guards against a refusal with 422, which users do not retry, while the state service can't be asked
+/// whether a dependency was accepted.
 #[tokio::test]
 async fn submission_is_refused_with_retry_after_while_a_dependency_is_unknown() {
-    let (user, service) = ready_node().await;
-    *service.refused_job.lock().unwrap() = Some("run-7");
+    let (user, service) = start_ready_node().await;
+    *service.unreadable_job.lock().unwrap() = Some("run-7");
     let body = submission("run-1", "vision", &["run-7"]);
     let mut stream = TcpStream::connect(user.front).await.unwrap();
     let head = format!(
@@ -47,39 +48,40 @@
     );
     stream.write_all(head.as_bytes()).await.unwrap();
     stream.write_all(&body).await.unwrap();
-    let mut answer = Vec::new();
-    let read = tokio::time::timeout(TIMEOUT, stream.read_to_end(&mut answer)).await;
-    read.expect("answered in time").unwrap();
-    let answer = String::from_utf8_lossy(&answer).to_lowercase();
-    assert!(answer.starts_with("http/1.1 503"), "{answer}");
-    assert!(answer.contains("\r\nretry-after: 1\r\n"), "{answer}");
+    let mut response = Vec::new();
+    let read = tokio::time::timeout(TIMEOUT, stream.read_to_end(&mut response)).await;
+    read.expect("the node should respond within the timeout")
+        .unwrap();
+    let response = String::from_utf8_lossy(&response).to_lowercase();
+    assert!(response.starts_with("http/1.1 503"), "{response}");
+    assert!(response.contains("\r\nretry-after: 1\r\n"), "{response}");
 }
 
-/// Guards against a repeated submission that is validated again: whatever it holds, and whatever
-/// the state of its dependencies, the job stays accepted and its state is returned.
+/// Guards against a repeated submission that is validated again: whatever its fields and the states of
+/// its dependencies, the job stays accepted and its state is returned.
 #[tokio::test]
 async fn repeated_submission_is_idempotent() {
-    let (user, _service) = ready_node().await;
-    let first = || submission("run-1", "vision", &[]);
-    let last = || submission("run-2", "vision", &["run-1"]);
-    assert_eq!(user.submit(first()).await, reply(201, "queued"));
-    assert_eq!(user.submit(last()).await, reply(201, "queued"));
+    let (user, _service) = start_ready_node().await;
+    let dependency = || submission("run-1", "vision", &[]);
+    let dependent = || submission("run-2", "vision", &["run-1"]);
+    assert_eq!(user.submit(dependency()).await, reply(201, "queued"));
+    assert_eq!(user.submit(dependent()).await, reply(201, "queued"));
     let too_many: Vec<String> = (0..65).map(|number| format!("run-{number}")).collect();
     let too_many: Vec<&str> = too_many.iter().map(String::as_str).collect();
-    let repeats = || {
+    let repetitions = || {
         [
-            last(),
+            dependent(),
             submission("run-2", "vision", &["run-2"]),
             submission("run-2", "vision", &["run-77"]),
             submission("run-2", "vision", &["host-1"]),
             submission("run-2", "vision", &too_many),
         ]
     };
-    for repeat in repeats() {
-        assert_eq!(user.submit(repeat).await, reply(200, "queued"));
+    for repetition in repetitions() {
+        assert_eq!(user.submit(repetition).await, reply(200, "queued"));
     }
     assert_eq!(user.cancel("run-1").await, reply(200, "aborted"));
-    for repeat in repeats() {
-        assert_eq!(user.submit(repeat).await, reply(200, "aborted"));
+    for repetition in repetitions() {
+        assert_eq!(user.submit(repetition).await, reply(200, "aborted"));
     }
 }
--- a/tests/dependencies_http/user.rs
+++ b/tests/dependencies_http/user.rs
@@ -1,6 +1,8 @@
-//! A user of a node, and the bodies that it sends.
+//! A user of a node and the request bodies that the user sends.
 
-use crate::support::{StateService, TIMEOUT, map, ready_node_where, submission_fields};
+use crate::support::{
+    StateService, TIMEOUT, map, start_ready_node_with_settings, submission_fields,
+};
 use hyper::Method;
 use rmpv::Value;
 use std::net::SocketAddr;
@@ -8,7 +10,7 @@
 use umbervale::http::{HttpClient, HttpResponse};
 use umbervale::wire::encode;
 
-/// What a user learns from a reply.
+/// The status and the job state of a reply to a user.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct JobReply {
     /// The HTTP status.
@@ -18,10 +20,11 @@
 }
 
 impl JobReply {
-    fn read(answer: &HttpResponse) -> JobReply {
+    /// Extracts the status and the job state from a response.
+    fn from_response(response: &HttpResponse) -> JobReply {
         JobReply {
-            status: answer.status,
-            state: state_of(answer),
+            status: response.status,
+            state: job_state_in(response),
         }
     }
 }
@@ -29,40 +32,41 @@
 /// A user of one node.
 pub(crate) struct User {
     http: HttpClient,
-    /// The address of the node for users.
+    /// The node's address for users.
     pub(crate) front: SocketAddr,
 }
 
 impl User {
-    /// Sends a request.
+    /// Sends a request and returns the response.
     async fn send(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> HttpResponse {
-        let answer = self.http.call(method, self.front, path, body, TIMEOUT);
-        answer.await.unwrap()
+        let response = self.http.call(method, self.front, path, body, TIMEOUT);
+        response.await.unwrap()
     }
 
-    /// Submits a job.
+    /// Submits a job and returns the reply.
     pub(crate) async fn submit(&self, body: Vec<u8>) -> JobReply {
-        let answer = self.send(Method::POST, "/submissions", Some(body)).await;
-        JobReply::read(&answer)
+        let response = self.send(Method::POST, "/submissions", Some(body)).await;
+        JobReply::from_response(&response)
     }
 
-    /// Asks for the state of a job.
+    /// Queries the state of a job.
     pub(crate) async fn query(&self, id: &str) -> JobReply {
         let path = format!("/submissions/{id}");
-        let answer = self.send(Method::GET, &path, None).await;
-        JobReply::read(&answer)
+        let response = self.send(Method::GET, &path, None).await;
+        JobReply::from_response(&response)
     }
 
-    /// Cancels a job.
+    /// Cancels a job and returns the reply.
     pub(crate) async fn cancel(&self, id: &str) -> JobReply {
         let path = format!("/submissions/{id}/cancel");
-        let answer = self.send(Method::POST, &path, None).await;
-        JobReply::read(&answer)
+        let response = self.send(Method::POST, &path, None).await;
+        JobReply::from_response(&response)
     }
 }
 
-fn state_of(answer: &HttpResponse) -> String {
-    let body: Value = rmp_serde::from_slice(&answer.body).unwrap();
+/// Returns the job state in a response, or an empty text if the response has none.
+fn job_state_in(response: &HttpResponse) -> String {
+    let body: Value = rmp_serde::from_slice(&response.body).unwrap();
     let state = body.as_map().and_then(|fields| {
         let state = fields
             .iter()
@@ -72,9 +76,9 @@
     state.unwrap_or_default().to_owned()
 }
 
-/// A node that is ready, and the state service that it uses.
-pub(crate) async fn ready_node() -> (User, Arc<StateService>) {
-    let node = ready_node_where(|settings| settings).await;
+/// Starts a node, waits until the node is ready, and returns a user of the node and the state service.
+pub(crate) async fn start_ready_node() -> (User, Arc<StateService>) {
+    let node = start_ready_node_with_settings(|settings| settings).await;
     let user = User {
         http: node.http,
         front: node.front,
@@ -82,7 +86,7 @@
     (user, node.service)
 }
 
-/// A submission for the team that depends on other jobs.
+/// Returns an encoded submission of a team that depends on the jobs `dependencies`.
 pub(crate) fn submission(id: &str, team: &str, dependencies: &[&str]) -> Vec<u8> {
     let dependencies = dependencies.iter().map(|id| Value::from(*id));
     let mut fields = submission_fields(id, team);
@@ -90,13 +94,13 @@
     encode(&map(fields))
 }
 
-/// A reply that a test expects.
+/// Returns the reply with a status and a job state, for comparison with the actual one.
 pub(crate) fn reply(status: u16, state: &str) -> JobReply {
     let state = state.to_owned();
     JobReply { status, state }
 }
 
-/// The final record of a job of three tasks.
+/// Returns the final record of a job with three tasks.
 pub(crate) fn final_record(state: &str) -> Value {
     map(vec![("state", state.into()), ("tasks", 3.into())])
 }
--- a/tests/http/client.rs
+++ b/tests/http/client.rs
@@ -1,6 +1,6 @@
-//! A client, and the bodies that it sends.
+//! A client of a node and the request bodies that it sends.
 
-use crate::support::{StateService, ready_node_where, submission_fields};
+use crate::support::{StateService, start_ready_node_with_settings, submission_fields};
 use hyper::Method;
 use rmpv::Value;
 use std::net::SocketAddr;
@@ -9,11 +9,11 @@
 use umbervale::http::{HttpClient, HttpError, HttpResponse};
 use umbervale::wire::worker::Heartbeat;
 
-/// Connections that a node's machine allows; half of them are for its front address.
-pub(crate) const SOCKETS: usize = 300;
+/// The number of connections that a node's machine allows. Half of them are for its front address.
+pub(crate) const MAX_CONNECTIONS: usize = 300;
 
-/// How long a user waits for a response.
-const USER_PATIENCE: Duration = Duration::from_secs(5);
+/// The time that a user waits for a response.
+const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A client of one node.
 pub(crate) struct Client {
@@ -22,7 +22,7 @@
 }
 
 impl Client {
-    /// Sends a request.
+    /// Sends a request and returns the response.
     pub(crate) async fn send(
         &self,
         method: Method,
@@ -30,19 +30,22 @@
         body: Option<Vec<u8>>,
     ) -> HttpResponse {
         self.http
-            .call(method, self.front, path, body, USER_PATIENCE)
+            .call(method, self.front, path, body, USER_TIMEOUT)
             .await
             .unwrap()
     }
 
-    /// The status of a `GET` request of a user who tries again, until [`USER_PATIENCE`] is over, if no
-    /// connection is set up. While more callers than sockets connect, the system's queue of connections
-    /// may overflow; an attempt that it drops takes longer than the client's connect timeout.
+    /// Sends a `GET` request and returns the status. If the connection can't be set up, retries until
+    /// [`USER_TIMEOUT`] has elapsed: while more clients than the node has sockets connect, the system's
+    /// queue of connections may overflow, and an attempt that the queue drops takes longer than the
+    /// client's connect timeout.
     pub(crate) async fn get_with_retries(&self, path: &str) -> u16 {
-        let deadline = Instant::now() + USER_PATIENCE;
+        let deadline = Instant::now() + USER_TIMEOUT;
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let response = self.http.call(Method::GET, self.front, path, None, left);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let response = self
+                .http
+                .call(Method::GET, self.front, path, None, remaining);
             match response.await {
                 Err(HttpError::NotSent(_)) if Instant::now() < deadline => {}
                 response => return response.unwrap().status,
@@ -50,31 +53,37 @@
         }
     }
 
-    /// Sends a request: the reply's status.
-    pub(crate) async fn status(&self, method: Method, path: &str, body: Option<Vec<u8>>) -> u16 {
+    /// Sends a request and returns the status of the response.
+    pub(crate) async fn send_for_status(
+        &self,
+        method: Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+    ) -> u16 {
         self.send(method, path, body).await.status
     }
 
-    /// Submits a job: the reply's status.
+    /// Submits a job and returns the status of the response.
     pub(crate) async fn submit(&self, body: Vec<u8>) -> u16 {
-        self.status(Method::POST, "/submissions", Some(body)).await
+        self.send_for_status(Method::POST, "/submissions", Some(body))
+            .await
     }
 
-    /// The status of a `GET` request.
+    /// Sends a `GET` request and returns the status of the response.
     pub(crate) async fn get(&self, path: &str) -> u16 {
-        self.status(Method::GET, path, None).await
+        self.send_for_status(Method::GET, path, None).await
     }
 
-    /// Cancels the job of that path: the reply's status.
+    /// Cancels the job at a path and returns the status of the response.
     pub(crate) async fn cancel(&self, job_path: &str) -> u16 {
         let path = format!("{job_path}/cancel");
-        self.status(Method::POST, &path, None).await
+        self.send_for_status(Method::POST, &path, None).await
     }
 
-    /// The state that the reply for that path tells.
+    /// Queries the job at a path and returns its state.
     pub(crate) async fn job_state(&self, path: &str) -> String {
-        let answer = self.send(Method::GET, path, None).await;
-        let value: Value = rmp_serde::from_slice(&answer.body).unwrap();
+        let response = self.send(Method::GET, path, None).await;
+        let value: Value = rmp_serde::from_slice(&response.body).unwrap();
         let fields = value.as_map().unwrap();
         let state = fields
             .iter()
@@ -83,17 +92,17 @@
     }
 }
 
-/// A node with its state service.
-pub(crate) async fn node() -> (Client, Arc<StateService>) {
-    node_with_settings(|settings| settings).await
+/// Starts a node and returns a client of the node and the state service.
+pub(crate) async fn start_node() -> (Client, Arc<StateService>) {
+    start_node_with_settings(|settings| settings).await
 }
 
-/// A node with its state service, under changed settings.
-pub(crate) async fn node_with_settings(
-    change: impl Fn(String) -> String,
+/// Starts a node with changed settings and returns a client of the node and the state service.
+pub(crate) async fn start_node_with_settings(
+    change_settings: impl Fn(String) -> String,
 ) -> (Client, Arc<StateService>) {
-    let limits = format!("[cluster.machine_limits]\nmax_connections = {SOCKETS}\n");
-    let node = ready_node_where(|text| change(text + &limits)).await;
+    let limits = format!("[cluster.machine_limits]\nmax_connections = {MAX_CONNECTIONS}\n");
+    let node = start_ready_node_with_settings(|text| change_settings(text + &limits)).await;
     let client = Client {
         http: node.http,
         front: node.front,
@@ -101,32 +110,32 @@
     (client, node.service)
 }
 
-/// A submission with changed fields.
-pub(crate) fn submission(change: impl Fn(&mut Vec<(Value, Value)>)) -> Vec<u8> {
+/// Returns an encoded submission whose fields `change_fields` may alter.
+pub(crate) fn submission(change_fields: impl Fn(&mut Vec<(Value, Value)>)) -> Vec<u8> {
     let mut fields = submission_fields("run-000412", "vision");
     fields.push(("models", Value::Nil));
     fields.push(("a_new_field", "is ignored".into()));
     let fields = fields.into_iter();
     let mut fields = fields.map(|(key, value)| (key.into(), value)).collect();
-    change(&mut fields);
+    change_fields(&mut fields);
     rmp_serde::to_vec(&Value::Map(fields)).unwrap()
 }
 
-/// Replaces the value of a field.
+/// Returns a function that replaces the value of a field.
 pub(crate) fn with_field(
     name: &'static str,
-    to: impl Into<Value> + Clone,
+    new_value: impl Into<Value> + Clone,
 ) -> impl Fn(&mut Vec<(Value, Value)>) {
     move |fields| {
         for (key, value) in fields.iter_mut() {
             if key.as_str() == Some(name) {
-                *value = to.clone().into();
+                *value = new_value.clone().into();
             }
         }
     }
 }
 
-/// The first heartbeat of a machine without tasks.
+/// Returns the first heartbeat of a machine without tasks.
 pub(crate) fn heartbeat_of(machine: &str) -> Heartbeat {
     Heartbeat {
         machine: machine.into(),
@@ -142,7 +151,7 @@
     }
 }
 
-/// A submission with a list of dependencies.
+/// Returns an encoded submission with a list of dependencies.
 pub(crate) fn dependent_submission(uid: &'static str, dependencies: Value) -> Vec<u8> {
     submission(move |fields| {
         with_field("uid", uid)(fields);
@@ -150,7 +159,7 @@
     })
 }
 
-/// A list of job ids.
+/// Returns a MessagePack list of job ids.
 pub(crate) fn job_ids(ids: &[&str]) -> Value {
     Value::Array(ids.iter().map(|id| Value::from(*id)).collect())
 }
--- a/tests/http/main.rs
+++ b/tests/http/main.rs
@@ -1,6 +1,6 @@
-//! The real HTTP layers, with a node on ephemeral loopback ports.
+//! Tests of the HTTP interface of a node that runs on ephemeral loopback ports.
 
-// Helpers of a test may panic: that is how it fails.
+// A test fails by a panic, also in its helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod client;
--- a/tests/http/overload.rs
+++ b/tests/http/overload.rs
@@ -1,7 +1,8 @@
-//! More clients, workers and queries than a node serves at a time.
+//! Tests of a node with more clients, workers or queries than it serves at a time.
 
 use crate::client::{
-    Client, SOCKETS, heartbeat_of, node, node_with_settings, submission, with_field,
+    Client, MAX_CONNECTIONS, heartbeat_of, start_node, start_node_with_settings, submission,
+    with_field,
 };
 use hyper::Method;
 use std::net::SocketAddr;
@@ -12,126 +13,144 @@
 use umbervale::http::HttpClient;
 use umbervale::wire::encode;
 
-/// After an outage all users query at once, several times as many as are served at a time. Users query
-/// every 5 s, and a job unanswered for 75 s is forgotten: each must be answered within 15 tries,
-/// however many others ask.
+/// Guards against status queries that starve after an outage, when all users query at once and are
+/// several times as many as the node serves at a time. Users query every 5 s, and a job whose queries
+/// fail for 75 s counts as forgotten, so every query must succeed within 15 attempts, whatever the
+/// number of users.
 #[tokio::test]
-async fn after_an_outage_every_job_is_answered_within_a_few_polls() {
-    let (client, service) = node().await;
+async fn every_status_query_succeeds_within_15_attempts_after_an_outage() {
+    let (client, service) = start_node().await;
     let ids: Vec<String> = (0..200).map(|number| format!("run-{number:06}")).collect();
     for id in &ids {
         let body = submission(with_field("uid", id.as_str()));
         let status = client.submit(body);
         assert_eq!(status.await, 201);
     }
-    service.down.store(true, Ordering::Relaxed);
-    let query_all = async |waiting: &[String]| {
-        let mut polls = tokio::task::JoinSet::new();
-        for id in waiting.iter().cloned() {
+    service.unavailable.store(true, Ordering::Relaxed);
+    let query_all = async |ids: &[String]| {
+        let mut queries = tokio::task::JoinSet::new();
+        for id in ids.iter().cloned() {
             let (http, front) = (client.http.clone(), client.front);
-            polls.spawn(async move {
+            queries.spawn(async move {
                 let client = Client { http, front };
                 let path = format!("/submissions/{id}");
                 (id, client.get(&path).await)
             });
         }
-        polls.join_all().await
+        queries.join_all().await
     };
     for (id, status) in query_all(&ids).await {
         assert_eq!(status, 503, "{id}");
     }
-    service.down.store(false, Ordering::Relaxed);
+    service.unavailable.store(false, Ordering::Relaxed);
     let mut waiting = ids;
     for _ in 0..15 {
-        let answers = query_all(&waiting).await;
+        let responses = query_all(&waiting).await;
         assert!(
-            answers
+            responses
                 .iter()
                 .all(|(_, status)| [200, 503].contains(status))
         );
-        let unanswered = answers.into_iter().filter(|(_, status)| *status != 200);
+        let unanswered = responses.into_iter().filter(|(_, status)| *status != 200);
         waiting = unanswered.map(|(id, _)| id).collect();
     }
     assert_eq!(waiting, Vec::<String>::new());
 }
 
-/// A connection whose request is answered and that is left open, as a worker's is.
-async fn request_ready(front: SocketAddr) -> (tokio::net::TcpStream, String) {
+/// Sends a request for `/ready` and returns the connection, left open as a worker does, and the head of
+/// the response in lower case.
+async fn get_ready_and_keep_connection(front: SocketAddr) -> (tokio::net::TcpStream, String) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(front).await.unwrap();
     let request = "GET /ready HTTP/1.1\r\nhost: n0\r\n\r\n";
     stream.write_all(request.as_bytes()).await.unwrap();
-    let mut answer = vec![0; 1024];
-    let read = stream.read(&mut answer).await.unwrap();
-    answer.truncate(read);
-    (stream, String::from_utf8_lossy(&answer).to_lowercase())
+    let mut response = vec![0; 1024];
+    let read = stream.read(&mut response).await.unwrap();
+    response.truncate(read);
+    (stream, String::from_utf8_lossy(&response).to_lowercase())
 }
 
-/// More callers than sockets, each of which leaves its connection open: new machines, users and probes
-/// still find a socket.
+/// Guards against idle connections that use up all sockets: although more clients than sockets connect
+/// and each leaves its connection open, new machines, users and probes are still served.
 #[tokio::test]
 async fn more_clients_than_sockets_are_all_answered() {
-    let (client, _service) = node().await;
-    let mut open = Vec::new();
-    let mut told_to_close = 0;
-    for number in 0..2 * SOCKETS {
-        let asked = tokio::time::timeout(Duration::from_secs(20), request_ready(client.front));
-        let (stream, answer) = asked
+    let (client, _service) = start_node().await;
+    let mut open_connections = Vec::new();
+    let mut close_responses = 0;
+    for number in 0..2 * MAX_CONNECTIONS {
+        let exchange = tokio::time::timeout(
+            Duration::from_secs(20),
+            get_ready_and_keep_connection(client.front),
+        );
+        let (stream, response) = exchange
             .await
-            .unwrap_or_else(|_| panic!("caller {number} waits"));
+            .unwrap_or_else(|_| panic!("client {number} got no response"));
         assert!(
-            answer.starts_with("http/1.1 200"),
-            "caller {number}: {answer}"
+            response.starts_with("http/1.1 200"),
+            "client {number}: {response}"
         );
-        told_to_close += usize::from(answer.contains("connection: close"));
-        open.push(stream);
+        close_responses += usize::from(response.contains("connection: close"));
+        open_connections.push(stream);
     }
-    let kept = open.len() - told_to_close;
-    let front = SOCKETS / 2;
-    assert!(kept > front / 2 && kept < front, "{kept} stay connected");
-    // A submission as well.
+    let kept_open = open_connections.len() - close_responses;
+    let max_front_connections = MAX_CONNECTIONS / 2;
+    assert!(
+        kept_open > max_front_connections / 2 && kept_open < max_front_connections,
+        "{kept_open} connections stay open"
+    );
+    // A submission is accepted as well.
     let status = client.submit(submission(|_| {})).await;
     assert_eq!(status, 201);
 }
 
-/// Sends heartbeats of one worker until two were accepted: how long that took, and the client with its
-/// connection, which stays open if the node allows it.
-async fn serve_as_worker(front: SocketAddr, machine: String) -> (Duration, HttpClient) {
+/// Sends heartbeats of one worker until two are accepted. Returns the elapsed time and the client with
+/// its connection, which stays open if the node allows it.
+async fn send_heartbeats_until_two_accepted(
+    front: SocketAddr,
+    machine: String,
+) -> (Duration, HttpClient) {
     let http = HttpClient::with_max_idle_connections(1);
     let mut heartbeat = heartbeat_of(&machine);
-    let begun_at = std::time::Instant::now();
-    let mut answered = 0;
-    while answered < 2 {
+    let started_at = std::time::Instant::now();
+    let mut accepted = 0;
+    while accepted < 2 {
         heartbeat.sequence += 1;
         let body = Some(encode(&heartbeat));
         let path = "/v1/report";
-        let answer = http.call(Method::POST, front, path, body, Duration::from_secs(4));
-        match answer.await {
-            Ok(answer) if answer.status == 200 => answered += 1,
-            // Not the leader yet, or no connection: the worker retries.
+        let response = http.call(Method::POST, front, path, body, Duration::from_secs(4));
+        match response.await {
+            Ok(response) if response.status == 200 => accepted += 1,
+            // The node is not the leader yet or has no free connection: the worker retries.
             _ => tokio::task::yield_now().await,
         }
     }
-    (begun_at.elapsed(), http)
+    (started_at.elapsed(), http)
 }
 
-/// `workers` send heartbeats to the only node that is left, which allows `sockets` connections: each
-/// worker keeps its lease, and users are answered meanwhile.
-async fn send_heartbeats_with_few_sockets(workers: usize, sockets: usize) {
-    let limit = format!("max_connections = {SOCKETS}");
-    let wider = format!("max_connections = {sockets}");
-    let (client, _service) = node_with_settings(|text| text.replace(&limit, &wider)).await;
+/// Lets `workers` workers send heartbeats to the only remaining node, which allows `max_connections`
+/// connections. Asserts that each worker keeps its lease and that users' queries are answered meanwhile.
+async fn assert_workers_keep_leases(workers: usize, max_connections: usize) {
+    let default_limit = format!("max_connections = {MAX_CONNECTIONS}");
+    let limit = format!("max_connections = {max_connections}");
+    let (client, _service) =
+        start_node_with_settings(|text| text.replace(&default_limit, &limit)).await;
     let mut fleet = tokio::task::JoinSet::new();
     for number in 0..workers {
-        fleet.spawn(serve_as_worker(client.front, format!("host-{number:06}")));
+        fleet.spawn(send_heartbeats_until_two_accepted(
+            client.front,
+            format!("host-{number:06}"),
+        ));
     }
     let mut user_queries = 0;
-    let mut open = Vec::new();
-    let lease = Duration::from_secs(17);
-    while let Some(took) = fleet.join_next().await {
-        let (took, connection) = took.unwrap();
-        open.push(connection);
-        assert!(took < lease, "a worker without an answer for {took:?}");
+    let mut open_connections = Vec::new();
+    let lease_duration = Duration::from_secs(17);
+    while let Some(worker) = fleet.join_next().await {
+        let (elapsed, connection) = worker.unwrap();
+        open_connections.push(connection);
+        assert!(
+            elapsed < lease_duration,
+            "a worker needed {elapsed:?} for two accepted heartbeats"
+        );
         if fleet.len() % 50 == 0 {
             user_queries += 1;
             let path = format!("/submissions/run-{user_queries}");
@@ -141,38 +160,44 @@
     assert!(user_queries >= workers / 50);
 }
 
-/// Guards against workers that find no socket: several times as many as there are.
+/// Guards against workers that lose their leases because they find no free socket: there are four times
+/// as many workers as connections of the front address.
 #[tokio::test]
 async fn more_workers_than_sockets_keep_their_leases() {
-    send_heartbeats_with_few_sockets(600, SOCKETS).await;
+    assert_workers_keep_leases(600, MAX_CONNECTIONS).await;
 }
 
-/// The same at full size, with one node of three left: `cargo test --release -- --ignored 4000_workers`.
+/// The same test at full size, with one of three nodes left. Run it with
+/// `cargo test --release -- --ignored 4000_workers`.
 #[tokio::test]
 #[ignore = "needs 10,000 open files and some seconds of a core"]
 async fn leases_of_4000_workers_at_1000_sockets_are_kept() {
-    send_heartbeats_with_few_sockets(4_000, 1_000).await;
+    assert_workers_keep_leases(4_000, 1_000).await;
 }
 
-/// Users query more than a slow state service answers: queries beyond the bound are refused at once, and
-/// heartbeats of workers are accepted meanwhile.
+/// Guards against status queries that delay heartbeats while the state service does not respond:
+/// queries beyond the bound are refused at once, and heartbeats of workers are accepted meanwhile.
 #[tokio::test]
-async fn excess_status_queries_are_refused_at_once_and_delay_no_heartbeat() {
-    let (client, service) = node().await;
+async fn excess_status_queries_are_refused_at_once_and_heartbeats_are_accepted() {
+    let (client, service) = start_node().await;
     let client = Arc::new(client);
     let mut heartbeat = heartbeat_of("host-000001");
-    let lead = async {
+    let becomes_leader = async {
         loop {
             heartbeat.sequence += 1;
             let body = Some(encode(&heartbeat));
-            if client.status(Method::POST, "/v1/report", body).await == 200 {
+            if client
+                .send_for_status(Method::POST, "/v1/report", body)
+                .await
+                == 200
+            {
                 return;
             }
         }
     };
-    let leads = tokio::time::timeout(Duration::from_secs(20), lead).await;
-    leads.expect("leads in time");
-    service.stalled.store(true, Ordering::Relaxed);
+    let becomes_leader = tokio::time::timeout(Duration::from_secs(20), becomes_leader).await;
+    becomes_leader.expect("the node should become leader within the timeout");
+    service.stalls_reads.store(true, Ordering::Relaxed);
     let mut queries = tokio::task::JoinSet::new();
     for number in 0..2 * MAX_USER_CALLS {
         let client = client.clone();
@@ -181,7 +206,7 @@
             client.send(Method::GET, &path, None).await
         });
     }
-    // Those beyond the bound are refused although none of the others is answered.
+    // Queries beyond the bound are refused although none of the others has a response.
     for _ in 0..MAX_USER_CALLS {
         let refused = queries.join_next().await.unwrap().unwrap();
         assert_eq!(refused.status, 503);
@@ -189,11 +214,16 @@
     assert_eq!(queries.len(), MAX_USER_CALLS);
     heartbeat.sequence += 1;
     let body = Some(encode(&heartbeat));
-    assert_eq!(client.status(Method::POST, "/v1/report", body).await, 200);
+    assert_eq!(
+        client
+            .send_for_status(Method::POST, "/v1/report", body)
+            .await,
+        200
+    );
     assert_eq!(client.get("/ready").await, 200);
     assert_eq!(queries.len(), MAX_USER_CALLS);
-    // The others are refused before the user's timeout.
-    while let Some(late) = queries.join_next().await {
-        assert_eq!(late.unwrap().status, 503);
+    // The other queries are refused before the user's timeout.
+    while let Some(response) = queries.join_next().await {
+        assert_eq!(response.unwrap().status, 503);
     }
 }
--- a/tests/http/workers.rs
+++ b/tests/http/workers.rs
@@ -1,6 +1,6 @@
-//! Heartbeats of workers.
+//! Tests of the heartbeats of workers.
 
-use crate::client::{heartbeat_of, node};
+use crate::client::{heartbeat_of, start_node};
 use hyper::Method;
 use std::time::Duration;
 use umbervale::model::FencingToken;
@@ -9,38 +9,44 @@
 
 #[tokio::test]
 async fn workers_get_the_fencing_token_or_a_redirect() {
-    let (client, _service) = node().await;
+    let (client, _service) = start_node().await;
     assert_eq!(
         client
-            .status(Method::POST, "/v1/report", Some(b"\x81".to_vec()))
+            .send_for_status(Method::POST, "/v1/report", Some(b"\x81".to_vec()))
             .await,
         400
     );
     let mut heartbeat = heartbeat_of("host-000001");
-    let leads = async {
+    let first_response = async {
         loop {
             heartbeat.sequence += 1;
-            let answer = client
+            let response = client
                 .send(Method::POST, "/v1/report", Some(encode(&heartbeat)))
                 .await;
-            if answer.status == 200 {
-                return decode::<HeartbeatResponse>(&answer.body).unwrap();
+            if response.status == 200 {
+                return decode::<HeartbeatResponse>(&response.body).unwrap();
             }
-            assert!([421, 503].contains(&answer.status), "{}", answer.status);
+            assert!([421, 503].contains(&response.status), "{}", response.status);
         }
     };
-    let response = tokio::time::timeout(Duration::from_secs(20), leads)
+    let response = tokio::time::timeout(Duration::from_secs(20), first_response)
         .await
-        .expect("leads in time");
+        .expect("the node should become leader within the timeout");
     assert!(response.fencing_token >= 1 && response.commands.is_empty());
-    // A worker that knows a later leader is redirected.
-    let seen = FencingToken(response.fencing_token);
-    assert_eq!(seen, FencingToken::first_of_term(seen.term()));
-    heartbeat.fencing_token = FencingToken::first_of_term(seen.term() + 1).0;
+    // A worker that has seen a fencing token of a later term is redirected.
+    let current_token = FencingToken(response.fencing_token);
+    assert_eq!(
+        current_token,
+        FencingToken::first_of_term(current_token.term())
+    );
+    heartbeat.fencing_token = FencingToken::first_of_term(current_token.term() + 1).0;
     heartbeat.sequence += 1;
-    let answer = client
+    let response = client
         .send(Method::POST, "/v1/report", Some(encode(&heartbeat)))
         .await;
-    assert_eq!(answer.status, 421);
-    assert_eq!(decode::<LeaderRedirect>(&answer.body).unwrap().leader, None);
+    assert_eq!(response.status, 421);
+    assert_eq!(
+        decode::<LeaderRedirect>(&response.body).unwrap().leader,
+        None
+    );
 }
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -1,4 +1,4 @@
-//! A cloud without machines, written from the protocol.
+//! A test cloud that offers one machine type and has no machines, implemented from the protocol.
 
 use super::map;
 use axum::Router;
@@ -6,6 +6,7 @@
 use rmpv::Value;
 use umbervale::wire::encode;
 
+/// Returns the list with the only machine type.
 async fn machine_types() -> Vec<u8> {
     let zones = Value::Array(vec!["east".into(), "west".into()]);
     let machine_type = map(vec![
@@ -24,14 +25,15 @@
     encode(&map(vec![("models", types)]))
 }
 
-async fn no_machines() -> Vec<u8> {
-    let none = Value::Array(Vec::new());
-    encode(&map(vec![("hosts", none), ("truncated", false.into())]))
+/// Returns the only page of the machine list, which is empty.
+async fn empty_machine_page() -> Vec<u8> {
+    let machines = Value::Array(Vec::new());
+    encode(&map(vec![("hosts", machines), ("truncated", false.into())]))
 }
 
-/// The routes of the cloud.
+/// Returns the routes of the cloud.
 pub(super) fn router() -> Router {
     Router::new()
         .route("/flavors", get(machine_types))
-        .route("/machines", get(no_machines))
+        .route("/machines", get(empty_machine_page))
 }
--- a/tests/support/fixture_table.rs
+++ b/tests/support/fixture_table.rs
@@ -1,26 +1,30 @@
-//! Tables of fixtures under `tests/fixtures`: one case a line, `name: value`.
+//! Fixture tables under `tests/fixtures`, which have one case per line: `name: value`.
 //!
-//! A value is text, or bytes as hexadecimal digits. A test takes each case once and in the end calls
-//! [`FixtureTable::finish`], so that no line stays unchecked.
+//! A value is text or hexadecimal digits that encode bytes. A test takes each case once and then calls
+//! [`FixtureTable::finish`], which fails if a line was not checked.
 
 use std::collections::BTreeMap;
 
-/// The cases of one table that were not taken yet.
+/// The cases of a fixture table that the test has not taken yet.
 pub(crate) struct FixtureTable {
     path: String,
     cases: BTreeMap<String, String>,
 }
 
 impl FixtureTable {
-    /// Reads a table, by its path below `tests/fixtures`.
+    /// Reads the table at a path relative to `tests/fixtures`.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the file can't be read, a line is malformed, or two cases have the same name.
     pub(crate) fn open(path: &str) -> Self {
         let file = format!("{}/tests/fixtures/{path}", env!("CARGO_MANIFEST_DIR"));
         let text = std::fs::read_to_string(&file).unwrap();
         let mut cases = BTreeMap::new();
         for line in text.lines() {
             let (name, value) = line.split_once(": ").unwrap();
-            let earlier = cases.insert(name.to_owned(), value.to_owned());
-            assert_eq!(earlier, None, "{path}: two cases are called {name}");
+            let previous = cases.insert(name.to_owned(), value.to_owned());
+            assert_eq!(previous, None, "{path}: two cases have the name {name}");
         }
         FixtureTable {
             path: path.to_owned(),
@@ -28,25 +32,45 @@
         }
     }
 
-    /// Takes the text of a case.
+    /// Removes a case and returns its text.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the table has no such case or the case was already taken.
     pub(crate) fn take_text(&mut self, name: &str) -> String {
         let text = self.cases.remove(name);
-        text.unwrap_or_else(|| panic!("{}: no case {name}, or taken twice", self.path))
+        text.unwrap_or_else(|| {
+            panic!(
+                "{}: case {name} does not exist or was already taken",
+                self.path
+            )
+        })
     }
 
-    /// Takes the bytes of a case.
+    /// Removes a case and returns the bytes that its hexadecimal digits encode.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the case can't be taken or its value is not a sequence of two-digit hexadecimal numbers.
     pub(crate) fn take_bytes(&mut self, name: &str) -> Vec<u8> {
         let digits = self.take_text(name);
-        assert!(digits.len().is_multiple_of(2), "{name}: half a byte");
+        assert!(
+            digits.len().is_multiple_of(2),
+            "{name}: odd number of hexadecimal digits"
+        );
         (0..digits.len())
             .step_by(2)
-            .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
+            .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).unwrap())
             .collect()
     }
 
-    /// Checks that every case was taken.
+    /// Asserts that every case was taken.
     pub(crate) fn finish(self) {
-        let left: Vec<String> = self.cases.into_keys().collect();
-        assert!(left.is_empty(), "{}: not checked: {left:?}", self.path);
+        let unchecked: Vec<String> = self.cases.into_keys().collect();
+        assert!(
+            unchecked.is_empty(),
+            "{}: cases not checked: {unchecked:?}",
+            self.path
+        );
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! What the tests over HTTP share: a node on ephemeral loopback ports, with a state service and a cloud
-//! written from the protocol.
+//! Test helpers that start a node on ephemeral loopback ports, with a state service and a cloud that
+//! are implemented from the protocol.
 
-// Helpers of a test may panic: that is how it fails. Each test program uses a part of them.
+// A test fails by a panic, also in its helpers. Each test program uses only some of the helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used, dead_code)]
 
 mod cloud;
@@ -21,16 +21,16 @@
 use umbervale::node::Node;
 use umbervale::settings::Settings;
 
-/// A timeout that is long enough for a busy machine.
+/// The timeout of tests, long enough for a machine under high load.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A map with text keys.
+/// Returns a MessagePack map with text keys.
 pub(crate) fn map(fields: Vec<(&str, Value)>) -> Value {
     let fields = fields.into_iter().map(|(key, value)| (key.into(), value));
     Value::Map(fields.collect())
 }
 
-/// The fields of a submission, without those that may be left out.
+/// Returns the required fields of a submission.
 pub(crate) fn submission_fields(id: &str, team: &str) -> Vec<(&'static str, Value)> {
     vec![
         ("uid", id.into()),
@@ -53,17 +53,18 @@
     ]
 }
 
-/// Serves the routes on a loopback port of their own.
+/// Serves the routes on an ephemeral loopback port and returns its address.
 async fn serve(router: Router) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    // It ends with the runtime of the test.
+    // The server stops with the runtime of the test.
     tokio::spawn(async move { axum::serve(listener, router).await });
     addr
 }
 
-/// A node's settings; `next` holds the limits to come, as a table of its own.
-pub(crate) fn settings(cloud: SocketAddr, state: SocketAddr, next: &str) -> String {
+/// Returns the settings of a node. `upcoming_limits` is the text of the table `cluster.state.next`, or
+/// empty.
+pub(crate) fn settings(cloud: SocketAddr, state: SocketAddr, upcoming_limits: &str) -> String {
     format!(
         r#"
 node_name = "n0"
@@ -92,7 +93,7 @@
 write_rps = 100000.0
 value_kb = 8.0
 txn_ops = 24
-{next}
+{upcoming_limits}
 [cluster.cloud]
 rps = 100.0
 list_lag_s = 1.0
@@ -100,37 +101,39 @@
     )
 }
 
-/// A node that is ready.
+/// A node that answers `/ready` with 200, its address for users and workers, and its state service.
 pub(crate) struct ReadyNode {
     pub(crate) http: HttpClient,
     pub(crate) front: SocketAddr,
     pub(crate) service: Arc<StateService>,
 }
 
-/// Starts a node with its state service and cloud, under settings that `change` may alter, and waits
-/// until it is ready.
-pub(crate) async fn ready_node_where(change: impl Fn(String) -> String) -> ReadyNode {
+/// Starts a node with its state service and cloud and waits until the node is ready. `change_settings`
+/// may alter the text of the settings.
+pub(crate) async fn start_ready_node_with_settings(
+    change_settings: impl Fn(String) -> String,
+) -> ReadyNode {
     let service = Arc::new(StateService::default());
     let state = serve(state_service::router(service.clone())).await;
     let cloud = serve(cloud::router()).await;
-    let text = change(settings(cloud, state, ""));
+    let text = change_settings(settings(cloud, state, ""));
     let node = Node::bind(Settings::parse(&text, "test").unwrap());
     let node = node.await.unwrap();
     let http = HttpClient::default();
     let front = node.front().unwrap();
-    // It ends with the runtime of the test, which fails if the node does not answer.
+    // The node stops with the runtime of the test. If the node fails earlier, its requests fail.
     tokio::spawn(node.serve());
     let ready = async {
         loop {
-            let answer = http.call(Method::GET, front, "/ready", None, TIMEOUT);
-            if answer.await.unwrap().status == 200 {
+            let response = http.call(Method::GET, front, "/ready", None, TIMEOUT);
+            if response.await.unwrap().status == 200 {
                 return;
             }
             tokio::task::yield_now().await;
         }
     };
     let ready = tokio::time::timeout(TIMEOUT, ready).await;
-    ready.expect("ready in time");
+    ready.expect("the node should become ready within the timeout");
     ReadyNode {
         http,
         front,
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -1,5 +1,5 @@
-//! What a state service written from the protocol holds, and how it replies: keys, conditional commits
-//! and changes. The tests over HTTP and the load (`benches/load`) share it.
+//! The data of a state service that is implemented from the protocol: its keys, conditional commits and
+//! changes, and its replies. The HTTP tests and the load program (`benches/load`) share this module.
 
 use axum::http::StatusCode;
 use rmpv::Value;
@@ -7,13 +7,13 @@
 use std::collections::{BTreeMap, VecDeque};
 use umbervale::wire::{encode, store as wire};
 
-/// Changes that are kept for watches, as the protocol says.
-const CHANGES_KEPT: usize = 10_000;
+/// Number of changes that the protocol says are retained for watches.
+const MAX_RETAINED_CHANGES: usize = 10_000;
 
-/// A status and a body.
+/// The status and the body of an HTTP response.
 pub(crate) type Reply = (StatusCode, Vec<u8>);
 
-/// The query of a listing.
+/// The query parameters of a listing.
 #[derive(Deserialize)]
 pub(crate) struct ListQuery {
     under: String,
@@ -21,7 +21,7 @@
     page: usize,
 }
 
-/// The query of a watch.
+/// The query parameters of a watch.
 #[derive(Deserialize)]
 pub(crate) struct WatchQuery {
     pub(crate) under: String,
@@ -35,13 +35,13 @@
     version: u64,
 }
 
-/// A change, at the revision that it made.
+/// A change with the revision that the change produced.
 struct LoggedChange {
     revision: u64,
     event: wire::WatchEvent,
 }
 
-/// Keys with their values and versions, and the changes that led there.
+/// The stored keys with their values and versions, and the latest changes for watches.
 #[derive(Default)]
 pub(crate) struct Records {
     values: BTreeMap<String, StoredValue>,
@@ -51,32 +51,33 @@
 }
 
 impl Records {
+    /// Returns the version of a key, or 0 if the key does not exist.
     fn version(&self, key: &str) -> u64 {
         self.values.get(key).map_or(0, |stored| stored.version)
     }
 
-    /// Writes a value without a change for watches; its version.
-    #[allow(dead_code, reason = "only the tests over HTTP use it")]
+    /// Writes a value without a change for watches and returns the new version.
+    #[allow(dead_code, reason = "only the HTTP tests use this function")]
     pub(crate) fn put_without_change(&mut self, key: &str, value: Value) -> u64 {
         self.revision += 1;
         self.store(key, value);
         self.revision
     }
 
-    /// Deletes a key without a change for watches; whether it was there.
-    #[allow(dead_code, reason = "only the tests over HTTP use it")]
+    /// Deletes a key without a change for watches and reports whether the key existed.
+    #[allow(dead_code, reason = "only the HTTP tests use this function")]
     pub(crate) fn delete_without_change(&mut self, key: &str) -> bool {
         self.values.remove(key).is_some()
     }
 
-    /// Stores a value at the present revision.
+    /// Stores a value with the current revision as its version.
     fn store(&mut self, key: &str, value: Value) {
         let version = self.revision;
         let stored = StoredValue { value, version };
         self.values.insert(key.to_owned(), stored);
     }
 
-    /// The key with its value.
+    /// Returns a key with its value and version.
     pub(crate) fn item(&self, key: &str) -> Option<wire::Item> {
         let stored = self.values.get(key)?;
         Some(wire::Item {
@@ -86,7 +87,7 @@
         })
     }
 
-    /// The reply to a read of a key.
+    /// Returns the reply to a read of a key.
     pub(crate) fn read(&self, key: &str) -> Reply {
         match self.item(key) {
             Some(item) => (StatusCode::OK, encode(&item)),
@@ -97,15 +98,15 @@
         }
     }
 
-    /// A page of the keys with a prefix, after that key if one is given.
+    /// Returns a page of the keys that have the prefix and follow the key `after`, if the query names one.
     pub(crate) fn list_page(&self, query: &ListQuery) -> wire::Listing {
-        let (under, after) = (&*query.under, query.after.as_deref());
-        let from = after.unwrap_or(under);
+        let (prefix, after) = (&*query.under, query.after.as_deref());
+        let first_key = after.unwrap_or(prefix);
         let mut keys = self
             .values
-            .range(from.to_owned()..)
+            .range(first_key.to_owned()..)
             .map(|(key, _)| key)
-            .take_while(|key| key.starts_with(under))
+            .take_while(|key| key.starts_with(prefix))
             .filter(|key| after != Some(key));
         let items = keys.by_ref().take(query.page);
         let items = items.filter_map(|key| self.item(key)).collect();
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Executes a transaction, and replies with the new revision or the keys whose comparison fails.
+    /// Executes a transaction and replies with the new revision, or with the keys whose comparison failed.
     pub(crate) fn commit(&mut self, transaction: wire::Transaction) -> Reply {
         let failed = transaction.comparisons.iter();
         let failed =
@@ -136,6 +137,7 @@
         (StatusCode::OK, encode(&wire::Revision { revision }))
     }
 
+    /// Applies a mutation of the current revision and records its change for watches.
     fn apply(&mut self, mutation: wire::Mutation) {
         let version = self.revision;
         let event = match mutation {
@@ -152,29 +154,30 @@
                 wire::WatchEvent::Delete { key, version }
             }
         };
-        self.note_change(event);
+        self.append_change(event);
     }
 
-    /// Adds a change of the present revision for watches.
-    pub(crate) fn note_change(&mut self, event: wire::WatchEvent) {
+    /// Appends a change of the current revision for watches and drops the oldest one beyond
+    /// [`MAX_RETAINED_CHANGES`].
+    pub(crate) fn append_change(&mut self, event: wire::WatchEvent) {
         let revision = self.revision;
         self.changes.push_back(LoggedChange { revision, event });
-        if self.changes.len() > CHANGES_KEPT {
+        if self.changes.len() > MAX_RETAINED_CHANGES {
             self.changes.pop_front();
         }
     }
 
-    /// The changes of keys with a prefix after that revision.
-    pub(crate) fn changes_after(&self, under: &str, after: u64) -> wire::Changes {
-        let is_under = |event: &wire::WatchEvent| match event {
-            wire::WatchEvent::Put { key, .. } => key.starts_with(under),
-            wire::WatchEvent::Delete { key, .. } => key.starts_with(under),
+    /// Returns the changes of keys with the prefix that follow the revision `after`.
+    pub(crate) fn changes_after(&self, prefix: &str, after: u64) -> wire::Changes {
+        let has_prefix = |event: &wire::WatchEvent| match event {
+            wire::WatchEvent::Put { key, .. } => key.starts_with(prefix),
+            wire::WatchEvent::Delete { key, .. } => key.starts_with(prefix),
         };
         let newer = self.changes.iter().rev();
         let newer = newer.take_while(|change| change.revision > after);
         let mut events: Vec<_> = newer.map(|change| change.event.clone()).collect();
         events.reverse();
-        events.retain(is_under);
+        events.retain(has_prefix);
         wire::Changes {
             revision: self.revision,
             events,
--- a/tests/support/state_service.rs
+++ b/tests/support/state_service.rs
@@ -1,4 +1,4 @@
-//! A state service written from the protocol, with the faults that tests inject.
+//! A state service that is implemented from the protocol, with faults that tests can inject.
 
 use super::map;
 use super::records::{ListQuery, Records, Reply, WatchQuery};
@@ -14,33 +14,34 @@
 use tokio::sync::Notify;
 use umbervale::wire::{decode, encode, store as wire};
 
-/// The state service, with what may be wrong with it.
+/// The state service with its injected faults.
 #[derive(Default)]
 pub(crate) struct StateService {
     records: Mutex<Records>,
     changed: Notify,
-    /// The service refuses to read the records of this job.
-    pub(crate) refused_job: Mutex<Option<&'static str>>,
-    /// Watches see no changes, as with a node whose watch lags.
-    pub(crate) silent: AtomicBool,
-    /// Reads of single keys and commits are refused.
-    pub(crate) down: AtomicBool,
-    /// Reads of single keys get no reply.
-    pub(crate) stalled: AtomicBool,
-    /// The leader writes a job's final record just before its live record is read.
-    pub(crate) ends: AtomicBool,
+    /// Reads of the records of this job are refused with 503.
+    pub(crate) unreadable_job: Mutex<Option<&'static str>>,
+    /// Watches return no changes, as if the node's watch lagged behind.
+    pub(crate) hides_changes: AtomicBool,
+    /// Reads of single keys and commits are refused with 503.
+    pub(crate) unavailable: AtomicBool,
+    /// Reads of single keys never get a response.
+    pub(crate) stalls_reads: AtomicBool,
+    /// A read of a job's live record first replaces that record with the final one, as if the leader had
+    /// completed the job just before the read.
+    pub(crate) completes_job_on_read: AtomicBool,
 }
 
-type Shared = State<Arc<StateService>>;
+type SharedService = State<Arc<StateService>>;
 
 impl StateService {
-    /// Writes a record as another node does, without a change for watches.
+    /// Writes a record as another node would, without a change for watches.
     pub(crate) fn put_without_change(&self, key: &str, value: Value) {
         let mut records = self.records.lock().unwrap();
         records.put_without_change(key, value);
     }
 
-    /// Writes a record as another node does, with a change for watches.
+    /// Writes a record as another node would, with a change for watches.
     pub(crate) fn put_with_change(&self, key: &str, value: Value) {
         let mut records = self.records.lock().unwrap();
         let version = records.put_without_change(key, value.clone());
@@ -50,55 +51,57 @@
             value,
             version,
         };
-        records.note_change(event);
+        records.append_change(event);
         self.changed.notify_waiters();
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub(crate) fn value(&self, key: &str) -> Option<Value> {
         let records = self.records.lock().unwrap();
         records.item(key).map(|item| item.value)
     }
 
-    /// Replaces the live record of that key, if there is one, by the job's final record.
-    fn end_job_under(&self, key: &str) {
+    /// Replaces the live record at a key with the job's final record. Does nothing if the key is not that
+    /// of an existing live record.
+    fn complete_job(&self, key: &str) {
         let mut records = self.records.lock().unwrap();
         if let Some(id) = key.strip_prefix("live/job/")
             && records.delete_without_change(key)
         {
-            let last = map(vec![("state", "done".into()), ("tasks", 3.into())]);
-            records.put_without_change(&format!("final/{id}"), last);
+            let final_record = map(vec![("state", "done".into()), ("tasks", 3.into())]);
+            records.put_without_change(&format!("final/{id}"), final_record);
         }
     }
 
-    fn refuses(&self, key: &str) -> bool {
-        if self.down.load(Ordering::Relaxed) {
+    /// Reports whether a read of a key is refused.
+    fn refuses_read(&self, key: &str) -> bool {
+        if self.unavailable.load(Ordering::Relaxed) {
             return true;
         }
-        let refused = *self.refused_job.lock().unwrap();
-        refused.is_some_and(|job| key.rsplit('/').next() == Some(job))
+        let unreadable = *self.unreadable_job.lock().unwrap();
+        unreadable.is_some_and(|job| key.rsplit('/').next() == Some(job))
     }
 }
 
-async fn read_one(State(service): Shared, Path(key): Path<String>) -> Reply {
-    if service.stalled.load(Ordering::Relaxed) {
+async fn read_key(State(service): SharedService, Path(key): Path<String>) -> Reply {
+    if service.stalls_reads.load(Ordering::Relaxed) {
         return std::future::pending().await;
     }
-    if service.refuses(&key) {
+    if service.refuses_read(&key) {
         return (StatusCode::SERVICE_UNAVAILABLE, Vec::new());
     }
-    if service.ends.load(Ordering::Relaxed) {
-        service.end_job_under(&key);
+    if service.completes_job_on_read.load(Ordering::Relaxed) {
+        service.complete_job(&key);
     }
     service.records.lock().unwrap().read(&key)
 }
 
-async fn list(State(service): Shared, Query(query): Query<ListQuery>) -> Vec<u8> {
+async fn list_keys(State(service): SharedService, Query(query): Query<ListQuery>) -> Vec<u8> {
     encode(&service.records.lock().unwrap().list_page(&query))
 }
 
-async fn commit(State(service): Shared, body: Bytes) -> Reply {
-    if service.down.load(Ordering::Relaxed) {
+async fn commit(State(service): SharedService, body: Bytes) -> Reply {
+    if service.unavailable.load(Ordering::Relaxed) {
         return (StatusCode::SERVICE_UNAVAILABLE, Vec::new());
     }
     let transaction = decode(&body).unwrap();
@@ -109,7 +112,7 @@
     reply
 }
 
-async fn new_lease(State(service): Shared) -> Vec<u8> {
+async fn grant_lease(State(service): SharedService) -> Vec<u8> {
     encode(&service.records.lock().unwrap().grant_lease())
 }
 
@@ -117,11 +120,11 @@
     StatusCode::OK
 }
 
-async fn changes(State(service): Shared, Query(query): Query<WatchQuery>) -> Vec<u8> {
-    let wait = Duration::from_millis(query.block_ms);
+async fn changes(State(service): SharedService, Query(query): Query<WatchQuery>) -> Vec<u8> {
+    let timeout = Duration::from_millis(query.block_ms);
     let changed = service.changed.notified();
-    let find = || {
-        if service.silent.load(Ordering::Relaxed) {
+    let current_changes = || {
+        if service.hides_changes.load(Ordering::Relaxed) {
             return wire::Changes {
                 revision: query.after,
                 events: Vec::new(),
@@ -130,19 +133,19 @@
         let records = service.records.lock().unwrap();
         records.changes_after(&query.under, query.after)
     };
-    if find().events.is_empty() {
-        let _ = tokio::time::timeout(wait, changed).await;
+    if current_changes().events.is_empty() {
+        let _ = tokio::time::timeout(timeout, changed).await;
     }
-    encode(&find())
+    encode(&current_changes())
 }
 
-/// The routes of the service.
+/// Returns the routes of the service.
 pub(super) fn router(service: Arc<StateService>) -> Router {
     Router::new()
-        .route("/store", get(list))
-        .route("/store/{*key}", get(read_one))
+        .route("/store", get(list_keys))
+        .route("/store/{*key}", get(read_key))
         .route("/commit", post(commit))
-        .route("/holds", post(new_lease))
+        .route("/holds", post(grant_lease))
         .route("/holds/{id}/touch", post(renew_lease))
         .route("/changes", get(changes))
         .with_state(service)
