--- a/tests/bad_input/bounds.rs
+++ b/tests/bad_input/bounds.rs
@@ -1,4 +1,4 @@
-//! Submissions of the right form whose values lie at a bound or beyond it.
+//! Tests of well-formed submissions with values at their bounds or beyond them.
 
 use super::messages::submission;
 use super::mutations::encode;
@@ -6,7 +6,7 @@
 use rmpv::Value;
 use umbervale::wire::{decode, user};
 
-/// A submission with some field changed.
+/// Returns a submission with the value of a field replaced.
 fn submission_with(field: &str, value: Value) -> Value {
     let Value::Map(mut entries) = submission() else {
         unreachable!("a submission is a map");
@@ -14,20 +14,22 @@
     let entry = entries
         .iter_mut()
         .find(|(key, _)| key.as_str() == Some(field));
-    entry.expect("a field of submissions").1 = value;
+    entry.expect("the field should be part of submissions").1 = value;
     Value::Map(entries)
 }
 
+/// Returns a list of `count` texts of `length` bytes each.
 fn texts(count: usize, length: usize) -> Value {
     Value::Array(vec!["x".repeat(length).into(); count])
 }
 
+/// Returns a list of `count` job ids.
 fn job_ids(count: usize) -> Value {
     let ids = (0..count).map(|number| Value::from(format!("run-{number}")));
     Value::Array(ids.collect())
 }
 
-/// A field with a value at its bound or beyond, and a name of the value.
+/// A field, the name of a value at its bounds or beyond them, and the value.
 type BoundedValue = (&'static str, String, Value);
 
 fn id_values() -> Vec<BoundedValue> {
@@ -121,19 +123,20 @@
     values
 }
 
-/// All values, in the order of the fixture.
+/// Returns all values in the order of the fixture.
 fn bounded_values() -> Vec<BoundedValue> {
     [id_values(), text_values(), number_values(), list_values()].concat()
 }
 
 #[test]
-fn submission_bounds() {
+fn validation_errors_of_submissions_match_the_fixture() {
     let cases: Vec<Case> = bounded_values()
         .into_iter()
-        .map(|(field, form, value)| {
+        .map(|(field, value_name, value)| {
             let body = encode(&submission_with(field, value));
-            let job = decode::<user::JobSubmission>(&body).expect("the right form");
-            Case::new(format!("{field}: {form}"), job.validate())
+            let job =
+                decode::<user::JobSubmission>(&body).expect("the submission should be well-formed");
+            Case::new(format!("{field}: {value_name}"), job.validate())
         })
         .collect();
     assert_fixture("submission_bounds.txt", &cases);
--- a/tests/bad_input/main.rs
+++ b/tests/bad_input/main.rs
@@ -1,11 +1,11 @@
-//! The replies to bad input, to the letter.
+//! Tests that compare the exact error texts for bad input with fixtures.
 //!
-//! Every case has a name and an outcome: the text of the error, or [`ACCEPTED`]. The outcomes are kept
-//! in `tests/fixtures/errors`, one line each: name, tab, outcome, with line breaks escaped. The cases
-//! are written in terms of the protocol and the settings files, not of the types that read them, so
-//! that renaming a type can't change a case together with its outcome.
+//! Every case has a name and an outcome, which is the text of the error or [`ACCEPTED`]. The fixtures in
+//! `tests/fixtures/errors` have one line per case: the name, a tab and the outcome, with backslashes, line
+//! breaks and tabs escaped. The cases are written in terms of the protocol and the settings files, not of
+//! the types that decode them, so that renaming a type can't change a case together with its outcome.
 
-// Helpers of a test may panic: that is how it fails.
+// A test fails by a panic, also in its helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[path = "../support/mod.rs"]
@@ -21,10 +21,10 @@
 use std::fmt::Display;
 use std::path::Path;
 
-/// The outcome of input that is not refused.
+/// The outcome of input that is accepted.
 const ACCEPTED: &str = "accepted";
 
-/// One input with what came of it.
+/// The name and the outcome of an input.
 struct Case {
     name: String,
     outcome: String,
@@ -40,23 +40,34 @@
         Case { name, outcome }
     }
 
-    fn line(&self) -> String {
+    /// Returns the line of the fixture, with its line break.
+    fn fixture_line(&self) -> String {
         format!("{}\t{}\n", escape(&self.name), escape(&self.outcome))
     }
 }
 
+/// Escapes backslashes, line breaks and tabs.
 fn escape(text: &str) -> String {
     text.replace('\\', "\\\\")
         .replace('\n', "\\n")
         .replace('\t', "\\t")
 }
 
-/// Compares the cases with a fixture, line by line. The lines as they are now are left in cargo's
-/// directory for tests' files.
+/// Asserts that the cases match a fixture line by line. Writes the actual lines to a file in the
+/// directory `CARGO_TARGET_TMPDIR`.
+///
+/// # Panics
+///
+/// Panics if the lines differ, with the first difference and the path of the file, or if two cases have
+/// the same name.
 fn assert_fixture(fixture: &str, cases: &[Case]) {
     let names: BTreeSet<&str> = cases.iter().map(|case| case.name.as_str()).collect();
-    assert_eq!(names.len(), cases.len(), "{fixture}: names are unique");
-    let actual: String = cases.iter().map(Case::line).collect();
+    assert_eq!(
+        names.len(),
+        cases.len(),
+        "{fixture}: two cases have the same name"
+    );
+    let actual: String = cases.iter().map(Case::fixture_line).collect();
     let actual_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(fixture);
     std::fs::write(&actual_path, &actual).unwrap();
     let expected_path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -66,12 +77,12 @@
     if actual == expected {
         return;
     }
-    let differing = actual
+    let first_difference = actual
         .lines()
         .zip(expected.lines())
         .find(|(actual, expected)| actual != expected);
     panic!(
-        "{fixture}: {} lines, expected {}; first that differs (actual, expected): {differing:#?}; \
+        "{fixture}: {} lines, expected {}; first difference (actual, expected): {first_difference:#?}; \
          all actual lines are in {}",
         actual.lines().count(),
         expected.lines().count(),
--- a/tests/bad_input/messages.rs
+++ b/tests/bad_input/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that a node decodes, each with all its optional fields, in damaged forms.
+//! Tests of damaged forms of the messages that a node decodes. Each message has all its optional fields.
 
 use super::mutations::{damaged_forms, encode};
 use super::support::map;
@@ -7,8 +7,8 @@
 use serde::de::DeserializeOwned;
 use umbervale::wire::{cloud, decode, store, user, worker};
 
-/// Checks the outcomes of all damaged forms of a message that is accepted undamaged.
-fn assert_outcomes<T: DeserializeOwned>(fixture: &str, message: &Value) {
+/// Asserts that a message is accepted and that the outcomes of its damaged forms match the fixture.
+fn assert_damaged_forms_match<T: DeserializeOwned>(fixture: &str, message: &Value) {
     let mut cases = vec![Case::new("undamaged", decode::<T>(&encode(message)))];
     assert_eq!(cases[0].outcome, ACCEPTED, "{fixture}");
     for damaged in damaged_forms(message) {
@@ -21,6 +21,7 @@
     Value::Array(elements)
 }
 
+/// Returns a submission with all optional fields.
 pub(crate) fn submission() -> Value {
     map(vec![
         ("uid", "run-000412".into()),
@@ -47,6 +48,7 @@
     ])
 }
 
+/// Returns a heartbeat with all optional fields and one exited task.
 pub(crate) fn heartbeat() -> Value {
     let task = map(vec![
         ("piece", "run-000412/0".into()),
@@ -78,42 +80,42 @@
 }
 
 #[test]
-fn submissions() {
-    assert_outcomes::<user::JobSubmission>("submission.txt", &submission());
+fn errors_for_damaged_submissions_match_the_fixture() {
+    assert_damaged_forms_match::<user::JobSubmission>("submission.txt", &submission());
 }
 
 #[test]
-fn heartbeats() {
-    assert_outcomes::<worker::Heartbeat>("report.txt", &heartbeat());
+fn errors_for_damaged_heartbeats_match_the_fixture() {
+    assert_damaged_forms_match::<worker::Heartbeat>("report.txt", &heartbeat());
 }
 
 #[test]
-fn items() {
-    assert_outcomes::<store::Item>("item.txt", &item());
+fn errors_for_damaged_items_match_the_fixture() {
+    assert_damaged_forms_match::<store::Item>("item.txt", &item());
 }
 
 #[test]
-fn typed_items() {
+fn errors_for_damaged_typed_items_match_the_fixture() {
     let item = map(vec![
         ("path", "live/job/run-000412".into()),
         ("data", map(vec![("ledger_rev", 3.into())])),
         ("stamp", 7.into()),
     ]);
-    assert_outcomes::<store::Item<store::Revision>>("item_of_revision.txt", &item);
+    assert_damaged_forms_match::<store::Item<store::Revision>>("item_of_revision.txt", &item);
 }
 
 #[test]
-fn listings() {
+fn errors_for_damaged_listings_match_the_fixture() {
     let listing = map(vec![
         ("items", list(vec![item()])),
         ("truncated", true.into()),
         ("ledger_rev", 9.into()),
     ]);
-    assert_outcomes::<store::Listing>("listing.txt", &listing);
+    assert_damaged_forms_match::<store::Listing>("listing.txt", &listing);
 }
 
 #[test]
-fn changes() {
+fn errors_for_damaged_changes_match_the_fixture() {
     let put = map(vec![
         ("put", "live/job/run-000412".into()),
         ("data", 1.into()),
@@ -127,29 +129,29 @@
         ("ledger_rev", 9.into()),
         ("events", list(vec![put, remove])),
     ]);
-    assert_outcomes::<store::Changes>("changes.txt", &changes);
+    assert_damaged_forms_match::<store::Changes>("changes.txt", &changes);
 }
 
 #[test]
-fn revisions() {
+fn errors_for_damaged_revisions_match_the_fixture() {
     let revision = map(vec![("ledger_rev", 9.into())]);
-    assert_outcomes::<store::Revision>("revision.txt", &revision);
+    assert_damaged_forms_match::<store::Revision>("revision.txt", &revision);
 }
 
 #[test]
-fn conflicts() {
+fn errors_for_damaged_conflicts_match_the_fixture() {
     let conflict = map(vec![("failed", list(vec!["live/job/run-000412".into()]))]);
-    assert_outcomes::<store::Conflict>("conflict.txt", &conflict);
+    assert_damaged_forms_match::<store::Conflict>("conflict.txt", &conflict);
 }
 
 #[test]
-fn leases() {
+fn errors_for_damaged_leases_match_the_fixture() {
     let lease = map(vec![("tenure", 5.into())]);
-    assert_outcomes::<store::LeaseGranted>("lease.txt", &lease);
+    assert_damaged_forms_match::<store::LeaseGranted>("lease.txt", &lease);
 }
 
 #[test]
-fn machine_types() {
+fn errors_for_damaged_machine_types_match_the_fixture() {
     let machine_type = map(vec![
         ("name", "g8".into()),
         ("vcpus", 16.into()),
@@ -163,11 +165,11 @@
         ("yards", list(vec!["east".into()])),
     ]);
     let types = map(vec![("models", list(vec![machine_type]))]);
-    assert_outcomes::<cloud::MachineTypeList>("machine_types.txt", &types);
+    assert_damaged_forms_match::<cloud::MachineTypeList>("machine_types.txt", &types);
 }
 
 #[test]
-fn machine_lists() {
+fn errors_for_damaged_machine_lists_match_the_fixture() {
     let machine = map(vec![
         ("uid", "host-000001".into()),
         ("model", "g8".into()),
@@ -180,11 +182,11 @@
         ("hosts", list(vec![machine])),
         ("truncated", true.into()),
     ]);
-    assert_outcomes::<cloud::MachinePage>("machine_list.txt", &machines);
+    assert_damaged_forms_match::<cloud::MachinePage>("machine_list.txt", &machines);
 }
 
 #[test]
-fn machine_names() {
+fn errors_for_damaged_machine_names_match_the_fixture() {
     let machines = map(vec![("hosts", list(vec!["host-000001".into()]))]);
-    assert_outcomes::<cloud::MachineNames>("machines.txt", &machines);
+    assert_damaged_forms_match::<cloud::MachineNames>("machines.txt", &machines);
 }
--- a/tests/bad_input/mutations.rs
+++ b/tests/bad_input/mutations.rs
@@ -1,28 +1,29 @@
-//! Damaged forms of a MessagePack message, made without knowledge of the type that reads it.
+//! Generates damaged forms of a MessagePack message independently of the type that decodes the message.
 
 use rmpv::Value;
 
-/// A damaged body and what was done to it.
-pub(crate) struct Damaged {
+/// A damaged body with a name that describes the damage.
+pub(crate) struct DamagedMessage {
     pub(crate) name: String,
     pub(crate) body: Vec<u8>,
 }
 
-/// A step from a value to one inside of it: a place in a list, or in a map's entries.
-type Path = Vec<usize>;
+/// The location of a value in a message: for each level, the index of the list element or map entry.
+type ValuePath = Vec<usize>;
 
+/// Encodes a value as MessagePack.
 pub(crate) fn encode(value: &Value) -> Vec<u8> {
     let mut body = Vec::new();
     rmpv::encode::write_value(&mut body, value).unwrap();
     body
 }
 
-/// All damaged forms of a message.
-pub(crate) fn damaged_forms(message: &Value) -> Vec<Damaged> {
+/// Returns all damaged forms of a message.
+pub(crate) fn damaged_forms(message: &Value) -> Vec<DamagedMessage> {
     let mut forms = Vec::new();
     let mut add = |name: String, value: Value| {
         let body = encode(&value);
-        forms.push(Damaged { name, body });
+        forms.push(DamagedMessage { name, body });
     };
     for path in paths_within(message) {
         let label = path_label(message, &path);
@@ -46,22 +47,23 @@
     forms
 }
 
-/// The paths of a value and of everything inside of it, outermost first.
-fn paths_within(value: &Value) -> Vec<Path> {
-    let mut paths = vec![Path::new()];
+/// Returns the paths of a value and of all values nested in it, each value before its children.
+fn paths_within(value: &Value) -> Vec<ValuePath> {
+    let mut paths = vec![ValuePath::new()];
     let children: Vec<&Value> = match value {
         Value::Array(elements) => elements.iter().collect(),
         Value::Map(entries) => entries.iter().map(|(_, value)| value).collect(),
         _ => Vec::new(),
     };
     for (index, child) in children.into_iter().enumerate() {
-        for inner in paths_within(child) {
-            paths.push([vec![index], inner].concat());
+        for inner_path in paths_within(child) {
+            paths.push([vec![index], inner_path].concat());
         }
     }
     paths
 }
 
+/// Returns the name of a path, such as `body.pieces[0].status`.
 fn path_label(message: &Value, path: &[usize]) -> String {
     let mut label = String::from("body");
     let mut value = message;
@@ -81,6 +83,7 @@
     label
 }
 
+/// Returns the value at a path.
 fn value_at<'a>(value: &'a Value, path: &[usize]) -> &'a Value {
     let Some((index, rest)) = path.split_first() else {
         return value;
@@ -92,6 +95,7 @@
     }
 }
 
+/// Returns the message with the value at a path replaced.
 fn with_value(message: &Value, path: &[usize], replacement: Value) -> Value {
     let Some((index, rest)) = path.split_first() else {
         return replacement;
@@ -106,28 +110,28 @@
     changed
 }
 
-/// Values of other types and forms to put in the place of one.
+/// Returns named values that replace the original one, most of them of other types.
 fn replacements(original: &Value) -> Vec<(&'static str, Value)> {
-    let seven = Value::from(7);
+    let integer = Value::from(7);
     let mut values = vec![
         ("nil", Value::Nil),
         ("boolean", true.into()),
         ("negative integer", (-1).into()),
-        ("integer", seven.clone()),
+        ("integer", integer.clone()),
         ("largest integer", u64::MAX.into()),
         ("fraction", 1.5.into()),
         ("text", "not known".into()),
         ("binary", Value::Binary(b"bytes".to_vec())),
         ("extension", Value::Ext(1, vec![0])),
         ("empty list", Value::Array(Vec::new())),
-        ("list", Value::Array(vec![seven.clone()])),
+        ("list", Value::Array(vec![integer.clone()])),
         ("empty map", Value::Map(Vec::new())),
-        ("map", Value::Map(vec![("x".into(), seven.clone())])),
+        ("map", Value::Map(vec![("x".into(), integer.clone())])),
     ];
     if let Value::String(_) = original {
         let as_key = |value| Value::Map(vec![(original.clone(), value)]);
         values.push(("key of nil", as_key(Value::Nil)));
-        values.push(("key of an integer", as_key(seven)));
+        values.push(("key of an integer", as_key(integer)));
         values.push(("key of an empty list", as_key(Value::Array(Vec::new()))));
     }
     if let Value::Map(entries) = original {
@@ -139,10 +143,11 @@
     values
 }
 
+/// The entries of a MessagePack map.
 type Entries = Vec<(Value, Value)>;
 
-/// Changes to the entries of a map: each left out, each repeated, and others with keys that are no
-/// text or not known.
+/// Returns named mutations of the entries of a map: each entry removed, each entry repeated, and an
+/// additional entry with an unknown key or a key that is not text.
 fn entry_mutations(entries: &Entries) -> Vec<(String, Entries)> {
     let mut mutations = Vec::new();
     for (index, (key, _)) in entries.iter().enumerate() {
@@ -162,20 +167,21 @@
         ("list key", Value::Array(Vec::new())),
         ("unknown key", "not_known".into()),
     ] {
-        let mut more = entries.clone();
-        more.insert(0, (key, Value::from(7)));
-        mutations.push((form.to_owned(), more));
+        let mut extended = entries.clone();
+        extended.insert(0, (key, Value::from(7)));
+        mutations.push((form.to_owned(), extended));
     }
     mutations
 }
 
-/// The body cut off, with bytes after it, and with bytes that no MessagePack value begins with.
-fn damaged_bytes(body: &[u8]) -> Vec<Damaged> {
+/// Returns forms of a body that are truncated, have trailing bytes or are not valid MessagePack. No valid
+/// value begins with the marker 0xc1, which some of them contain.
+fn damaged_bytes(body: &[u8]) -> Vec<DamagedMessage> {
     let length = body.len();
     let mut forms = Vec::new();
     let mut add = |name: &str, body: Vec<u8>| {
         let name = format!("bytes: {name}");
-        forms.push(Damaged { name, body });
+        forms.push(DamagedMessage { name, body });
     };
     add("none", Vec::new());
     for (name, kept) in [
--- a/tests/bad_input/settings.rs
+++ b/tests/bad_input/settings.rs
@@ -1,9 +1,9 @@
-//! The settings files: lines left out, repeated, broken, and with other values.
+//! Tests of settings files with removed, repeated and malformed lines and with other values.
 
 use super::{Case, assert_fixture};
 use umbervale::settings::{Operator, Settings};
 
-/// All tables and fields that there are; in each table, first those that have to be there.
+/// Valid settings with all tables and fields. In each table, the required fields come first.
 const SAMPLE: &str = r#"node_name = "n0"
 site = "east"
 front = "127.0.0.1:0"
@@ -52,7 +52,7 @@
 cpu_share = 0.12
 "#;
 
-/// Values that replace the value of each field.
+/// The values that replace the value of each field in turn.
 const VALUES: [&str; 30] = [
     "",
     "unquoted",
@@ -86,20 +86,21 @@
     "{ x = 5 }",
 ];
 
+/// Parses a text as settings of the platform and returns the case with the outcome.
 fn parse_case(name: impl Into<String>, text: &str) -> Case {
     Case::new(name, Settings::parse(text, "settings.toml"))
 }
 
-/// The sample with one line replaced by others.
+/// Returns the sample with the line at `index` replaced by other lines, or removed.
 fn with_line(index: usize, replacement: &[&str]) -> String {
     let mut lines: Vec<&str> = SAMPLE.lines().collect();
     lines.splice(index..=index, replacement.iter().copied());
     lines.join("\n") + "\n"
 }
 
-/// The sample without a table and those inside of it, and with a line at the end of another table, or
-/// of the beginning if that is empty.
-fn with_table_as(table: &str, parent: &str, line: &str) -> String {
+/// Returns the sample without a table and its subtables, and with a line at the end of the table
+/// `parent`. If `parent` is empty, the line follows the fields before the first table.
+fn with_table_replaced(table: &str, parent: &str, line: &str) -> String {
     let mut text = String::new();
     let mut current = "";
     let add_line = |text: &mut String, current: &str| {
@@ -113,8 +114,8 @@
             add_line(&mut text, current);
             current = sample_line.trim_matches(['[', ']']);
         }
-        let inside = current.strip_prefix(table);
-        if !inside.is_some_and(|rest| rest.is_empty() || rest.starts_with('.')) {
+        let path_in_table = current.strip_prefix(table);
+        if !path_in_table.is_some_and(|rest| rest.is_empty() || rest.starts_with('.')) {
             text.push_str(sample_line);
             text.push('\n');
         }
@@ -123,9 +124,11 @@
     text
 }
 
-/// Changes to a line that has a field.
-fn field_cases(index: usize, table: &str, line: &str, cases: &mut Vec<Case>) {
-    let (field, value) = line.split_once(" = ").expect("a field and its value");
+/// Adds the cases in which the line of a field is changed.
+fn add_field_cases(index: usize, table: &str, line: &str, cases: &mut Vec<Case>) {
+    let (field, value) = line
+        .split_once(" = ")
+        .expect("the line should have a field and a value");
     let path = match table {
         "" => field.to_owned(),
         table => format!("{table}.{field}"),
@@ -136,16 +139,19 @@
     ));
     let twice = with_line(index, &[line, line]);
     cases.push(parse_case(format!("{path} twice"), &twice));
-    let no_sign = with_line(index, &[&format!("{field} {value}")]);
-    cases.push(parse_case(format!("{path} without a sign"), &no_sign));
+    let without_equals_sign = with_line(index, &[&format!("{field} {value}")]);
+    cases.push(parse_case(
+        format!("{path} without a sign"),
+        &without_equals_sign,
+    ));
     for value in VALUES {
         let text = with_line(index, &[&format!("{field} = {value}")]);
         cases.push(parse_case(format!("{path} = {value}"), &text));
     }
 }
 
-/// Changes to a line that begins a table.
-fn table_cases(index: usize, line: &str, cases: &mut Vec<Case>) {
+/// Adds the cases in which the header of a table or the whole table is changed.
+fn add_table_cases(index: usize, line: &str, cases: &mut Vec<Case>) {
     let name = line.trim_matches(['[', ']']);
     for (form, lines) in [
         ("line missing", vec![]),
@@ -160,31 +166,31 @@
         cases.push(parse_case(format!("[{name}]: {form}"), &text));
     }
     let (parent, key) = name.rsplit_once('.').unwrap_or(("", name));
-    let missing = with_table_as(name, "none", "");
+    let missing = with_table_replaced(name, "none", "");
     cases.push(parse_case(format!("[{name}]: missing"), &missing));
     for value in ["5", "\"text\"", "true", "[]", "[5]", "[{}]", "{}", "[[]]"] {
-        let text = with_table_as(name, parent, &format!("{key} = {value}"));
+        let text = with_table_replaced(name, parent, &format!("{key} = {value}"));
         cases.push(parse_case(format!("[{name}]: {key} = {value}"), &text));
     }
 }
 
 #[test]
-fn platform_settings_lines() {
+fn errors_for_damaged_platform_settings_match_the_fixture() {
     let mut cases = vec![parse_case("undamaged", SAMPLE)];
     let mut table = "";
     for (index, line) in SAMPLE.lines().enumerate() {
         if line.starts_with('[') {
             table = line.trim_matches(['[', ']']);
-            table_cases(index, line, &mut cases);
+            add_table_cases(index, line, &mut cases);
         } else {
-            field_cases(index, table, line, &mut cases);
+            add_field_cases(index, table, line, &mut cases);
         }
     }
     assert_fixture("settings.txt", &cases);
 }
 
 #[test]
-fn platform_settings_bounds() {
+fn errors_for_platform_settings_at_their_bounds_match_the_fixture() {
     let name = |length| format!("node_name = \"{}\"", "n".repeat(length));
     let replacements = [
         ("node_name = \"n0\"", name(100)),
@@ -218,7 +224,7 @@
     assert_fixture("settings_bounds.txt", &cases);
 }
 
-/// Texts of the operators' settings beside those with other values of the fields.
+/// Operator settings that are tested in addition to the fields with other values.
 const OPERATOR_TEXTS: [&str; 22] = [
     "",
     "()",
@@ -245,7 +251,7 @@
 ];
 
 #[test]
-fn operator_settings() {
+fn errors_for_operator_settings_match_the_fixture() {
     let mut texts: Vec<String> = OPERATOR_TEXTS.map(str::to_owned).to_vec();
     for field in ["idle_s", "most_machines", "spot"] {
         for value in [
--- a/tests/http/dependencies.rs
+++ b/tests/http/dependencies.rs
@@ -1,4 +1,4 @@
-//! Submissions that depend on other jobs.
+//! Tests of job dependencies: validation at submission and propagation of cancellations.
 
 use crate::client::{dependent_submission, job_ids, start_node, submission};
 use rmpv::Value;
--- a/tests/http/overload.rs
+++ b/tests/http/overload.rs
@@ -57,7 +57,7 @@
     assert_eq!(waiting, Vec::<String>::new());
 }
 
-/// Sends a request for `/ready` and returns the connection, left open as a worker does, and the head of
+/// Sends a request for `/ready` and returns the connection, which stays open like that of a worker, and
 /// the response in lower case.
 async fn get_ready_and_keep_connection(front: SocketAddr) -> (tokio::net::TcpStream, String) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -62,8 +62,8 @@
     addr
 }
 
-/// Returns the settings of a node. `upcoming_limits` is the text of the table `cluster.state.next`, or
-/// empty.
+/// Returns the settings of a node. `upcoming_limits` is the text that sets the upcoming limits of the
+/// state service, or empty.
 pub(crate) fn settings(cloud: SocketAddr, state: SocketAddr, upcoming_limits: &str) -> String {
     format!(
         r#"
--- a/tests/wire_format/frames.rs
+++ b/tests/wire_format/frames.rs
@@ -1,32 +1,33 @@
-//! Frames between controller nodes, with their length prefix and version.
+//! Tests of the frames between controller nodes, with their length prefix and version.
 
 use super::fixture_table::FixtureTable;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use umbervale::peer::{Announcement, Message, read_frame, write_frame};
 
+/// Returns the two ends of a TCP connection over loopback.
 async fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let (near, far) = tokio::join!(TcpStream::connect(addr), listener.accept());
-    (near.unwrap(), far.unwrap().0)
+    let (sender, receiver) = tokio::join!(TcpStream::connect(addr), listener.accept());
+    (sender.unwrap(), receiver.unwrap().0)
 }
 
-/// The bytes that [`write_frame`] sends.
-async fn written(message: &Message) -> Vec<u8> {
-    let (mut near, mut far) = connected_pair().await;
-    write_frame(&mut near, message).await.unwrap();
-    drop(near);
+/// Returns the bytes that [`write_frame`] sends for a message.
+async fn encode_frame(message: &Message) -> Vec<u8> {
+    let (mut sender, mut receiver) = connected_pair().await;
+    write_frame(&mut sender, message).await.unwrap();
+    drop(sender);
     let mut bytes = Vec::new();
-    far.read_to_end(&mut bytes).await.unwrap();
+    receiver.read_to_end(&mut bytes).await.unwrap();
     bytes
 }
 
-/// The message that [`read_frame`] makes of these bytes.
-async fn read(bytes: &[u8]) -> Message {
-    let (mut near, mut far) = connected_pair().await;
-    near.write_all(bytes).await.unwrap();
-    read_frame(&mut far).await.unwrap()
+/// Returns the message that [`read_frame`] decodes from the bytes of a frame.
+async fn decode_frame(bytes: &[u8]) -> Message {
+    let (mut sender, mut receiver) = connected_pair().await;
+    sender.write_all(bytes).await.unwrap();
+    read_frame(&mut receiver).await.unwrap()
 }
 
 fn announcement(node: &str, term: u64, store_reachable: bool) -> Message {
@@ -55,8 +56,8 @@
         ("cancelled", Message::Cancelled { job: job() }),
     ] {
         let expected = table.take_bytes(name);
-        assert_eq!(written(&message).await, expected, "{name}");
-        assert_eq!(read(&expected).await, message, "{name}");
+        assert_eq!(encode_frame(&message).await, expected, "{name}");
+        assert_eq!(decode_frame(&expected).await, message, "{name}");
     }
     table.finish();
 }
--- a/tests/wire_format/main.rs
+++ b/tests/wire_format/main.rs
@@ -1,9 +1,9 @@
-//! Compares the bytes of every message on the wire and of every frame between nodes with fixtures.
+//! Tests that compare the bytes of every wire message and of every frame between nodes with fixtures.
 //!
-//! The fixtures never change: a difference means that another version, a user, a worker, the cloud or
-//! the state service would be misunderstood.
+//! The fixtures never change: a difference means that nodes of different versions, or a node and its
+//! users, its workers, the cloud or the state service, would misunderstand each other.
 
-// Helpers of a test may panic: that is how it fails.
+// A test fails by a panic, also in its helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[path = "../support/fixture_table.rs"]
--- a/tests/wire_format/messages/cloud.rs
+++ b/tests/wire_format/messages/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages of the cloud.
+//! Tests of the messages exchanged with the cloud.
 
 use super::super::fixture_table::FixtureTable;
 use super::{assert_decodes, assert_round_trip};
@@ -22,7 +22,7 @@
     }
 }
 
-fn listed(state: MachineState, spot: bool) -> ListedMachine {
+fn listed_machine(state: MachineState, spot: bool) -> ListedMachine {
     ListedMachine {
         id: "host-000231".into(),
         machine_type: "g8".into(),
@@ -34,7 +34,7 @@
 }
 
 fn check_machine_types(table: &mut FixtureTable) {
-    let nowhere = MachineType {
+    let without_zones = MachineType {
         zones: Vec::new(),
         ..machine_type()
     };
@@ -42,7 +42,7 @@
     assert_round_trip(
         table,
         "types",
-        &machine_types(vec![machine_type(), nowhere]),
+        &machine_types(vec![machine_type(), without_zones]),
     );
     assert_round_trip(table, "types_none", &machine_types(Vec::new()));
     assert_decodes(table, "types_whole", &machine_types(vec![machine_type()]));
@@ -59,8 +59,8 @@
     assert_round_trip(table, "rent_spot", &rent(true, 50));
     assert_round_trip(table, "rent_ordinary", &rent(false, 1));
     let machines = |machines| MachineNames { machines };
-    let two = vec!["host-000231".into(), "host-000232".into()];
-    assert_round_trip(table, "machines", &machines(two));
+    let names = vec!["host-000231".into(), "host-000232".into()];
+    assert_round_trip(table, "machines", &machines(names));
     assert_round_trip(table, "machines_none", &machines(Vec::new()));
 }
 
@@ -70,14 +70,14 @@
         ("listed_running", MachineState::Running),
         ("listed_failed", MachineState::Failed),
     ] {
-        assert_round_trip(table, name, &listed(state, true));
+        assert_round_trip(table, name, &listed_machine(state, true));
     }
-    let ordinary = listed(MachineState::Running, false);
-    assert_round_trip(table, "listed_ordinary", &ordinary);
-    assert_decodes(table, "listed_left_out", &ordinary);
+    let on_demand = listed_machine(MachineState::Running, false);
+    assert_round_trip(table, "listed_ordinary", &on_demand);
+    assert_decodes(table, "listed_left_out", &on_demand);
     let page = |machines, has_more| MachinePage { machines, has_more };
-    let both = vec![ordinary, listed(MachineState::Booting, true)];
-    assert_round_trip(table, "list", &page(both, true));
+    let machines = vec![on_demand, listed_machine(MachineState::Booting, true)];
+    assert_round_trip(table, "list", &page(machines, true));
     assert_round_trip(table, "list_empty", &page(Vec::new(), false));
     assert_decodes(table, "list_left_out", &page(Vec::new(), false));
 }
--- a/tests/wire_format/messages/malformed.rs
+++ b/tests/wire_format/messages/malformed.rs
@@ -1,7 +1,7 @@
-//! Malformed messages, and the texts that refuse them.
+//! Tests of malformed messages and the error texts that refuse them.
 
 use super::super::fixture_table::FixtureTable;
-use super::users::full_job;
+use super::users::full_submission;
 use super::workers::{full_heartbeat, task};
 use rmpv::Value;
 use serde::de::DeserializeOwned;
@@ -9,7 +9,7 @@
 use umbervale::wire::worker::{ExitReason, Heartbeat, Task, TaskState};
 use umbervale::wire::{decode, encode};
 
-/// Values that replace a field in a malformed body.
+/// Returns the values that replace each field in turn, with the names of their types.
 fn malformed_values() -> Vec<(&'static str, Value)> {
     vec![
         ("null", Value::Nil),
@@ -23,30 +23,35 @@
     ]
 }
 
-/// The error that the sender of a body gets.
-fn outcome_of<T: DeserializeOwned>(body: &Value) -> String {
+/// Returns the error text that the sender of a body receives, or `accepted` if the body is valid.
+fn decode_outcome<T: DeserializeOwned>(body: &Value) -> String {
     match decode::<T>(&encode(body)) {
         Ok(_) => "accepted".into(),
         Err(error) => error.to_string(),
     }
 }
 
-/// Removes and damages each field of a message, one after the other, and compares the errors.
-fn assert_damaged_fields<T: DeserializeOwned>(table: &mut FixtureTable, group: &str, good: &[u8]) {
-    let good: Value = rmp_serde::from_slice(good).unwrap();
-    let fields = good.as_map().unwrap();
-    for (at, (key, _)) in fields.iter().enumerate() {
+/// Removes each field of a valid body and replaces its value, one at a time, and asserts that the errors
+/// match the fixture.
+fn assert_damaged_fields_match<T: DeserializeOwned>(
+    table: &mut FixtureTable,
+    group: &str,
+    valid_body: &[u8],
+) {
+    let valid_body: Value = rmp_serde::from_slice(valid_body).unwrap();
+    let fields = valid_body.as_map().unwrap();
+    for (index, (key, _)) in fields.iter().enumerate() {
         let field = key.as_str().unwrap();
-        let mut without = fields.clone();
-        without.remove(at);
+        let mut remaining_fields = fields.clone();
+        remaining_fields.remove(index);
         let name = format!("{group}.{field}.missing");
-        let text = outcome_of::<T>(&Value::Map(without));
+        let text = decode_outcome::<T>(&Value::Map(remaining_fields));
         assert_eq!(text, table.take_text(&name), "{name}");
-        for (form, value) in malformed_values() {
-            let mut damaged = fields.clone();
-            damaged[at].1 = value;
-            let name = format!("{group}.{field}.{form}");
-            let text = outcome_of::<T>(&Value::Map(damaged));
+        for (value_type, value) in malformed_values() {
+            let mut damaged_fields = fields.clone();
+            damaged_fields[index].1 = value;
+            let name = format!("{group}.{field}.{value_type}");
+            let text = decode_outcome::<T>(&Value::Map(damaged_fields));
             assert_eq!(text, table.take_text(&name), "{name}");
         }
     }
@@ -55,9 +60,13 @@
 #[test]
 fn malformed_bodies_are_refused_with_the_texts_of_the_fixtures() {
     let mut table = FixtureTable::open("wire/malformed.txt");
-    assert_damaged_fields::<JobSubmission>(&mut table, "submission", &encode(&full_job()));
-    assert_damaged_fields::<Heartbeat>(&mut table, "report", &encode(&full_heartbeat()));
+    assert_damaged_fields_match::<JobSubmission>(
+        &mut table,
+        "submission",
+        &encode(&full_submission()),
+    );
+    assert_damaged_fields_match::<Heartbeat>(&mut table, "report", &encode(&full_heartbeat()));
     let stopped = task(TaskState::Exited, Some(ExitReason::Stopped), Some(true));
-    assert_damaged_fields::<Task>(&mut table, "task", &encode(&stopped));
+    assert_damaged_fields_match::<Task>(&mut table, "task", &encode(&stopped));
     table.finish();
 }
--- a/tests/wire_format/messages/mod.rs
+++ b/tests/wire_format/messages/mod.rs
@@ -1,4 +1,4 @@
-//! Messages of users, workers, the cloud and the state service.
+//! Tests of the messages exchanged with users, workers, the cloud and the state service.
 
 mod cloud;
 mod malformed;
@@ -12,7 +12,8 @@
 use std::fmt::Debug;
 use umbervale::wire::{decode, encode};
 
-/// Encoding the message gives the bytes of the fixture, and decoding them gives the message.
+/// Asserts that the message is encoded as the bytes of the fixture, and that these bytes are decoded as
+/// the message.
 #[track_caller]
 fn assert_round_trip<T>(table: &mut FixtureTable, name: &str, message: &T)
 where
@@ -27,7 +28,8 @@
     );
 }
 
-/// Decoding the fixture, which has another form, gives the message.
+/// Asserts that the bytes of the fixture, which differ from the encoding of the message, are decoded as
+/// the message.
 #[track_caller]
 fn assert_decodes<T>(table: &mut FixtureTable, name: &str, message: &T)
 where
--- a/tests/wire_format/messages/state_service.rs
+++ b/tests/wire_format/messages/state_service.rs
@@ -1,4 +1,4 @@
-//! Messages of the state service.
+//! Tests of the messages exchanged with the state service.
 
 use super::super::fixture_table::FixtureTable;
 use super::{assert_decodes, assert_round_trip};
@@ -8,7 +8,8 @@
     Revision, Transaction, WatchEvent,
 };
 
-fn any_value() -> Value {
+/// Returns a map with values of several MessagePack types.
+fn sample_value() -> Value {
     let field = |name: &str, value| (Value::from(name), value);
     Value::Map(vec![
         field("null", Value::Nil),
@@ -24,7 +25,7 @@
 fn item() -> Item {
     Item {
         key: "a/b".into(),
-        value: any_value(),
+        value: sample_value(),
         version: 412,
     }
 }
@@ -32,12 +33,12 @@
 fn check_items(table: &mut FixtureTable) {
     assert_round_trip(table, "item", &item());
     assert_decodes(table, "item_leased", &item());
-    let typed = Item::<GrantLeaseRequest> {
+    let typed_item = Item::<GrantLeaseRequest> {
         key: "a/b".into(),
         value: GrantLeaseRequest { ttl_ms: 5_000 },
         version: 0,
     };
-    assert_round_trip(table, "item_of_a_type", &typed);
+    assert_round_trip(table, "item_of_a_type", &typed_item);
     let listing = |items, has_more| Listing {
         items,
         has_more,
@@ -49,14 +50,14 @@
 }
 
 fn check_transactions(table: &mut FixtureTable) {
-    let condition = Comparison {
+    let comparison = Comparison {
         key: "a/b".into(),
         version: 0,
     };
-    assert_round_trip(table, "condition", &condition);
+    assert_round_trip(table, "condition", &comparison);
     let put = |lease| Mutation::Put {
         key: "a/b".into(),
-        value: any_value(),
+        value: sample_value(),
         lease,
     };
     assert_round_trip(table, "put", &put(None));
@@ -67,7 +68,7 @@
     let transaction = Transaction::default()
         .compare("a/b", 0)
         .compare("c/d", 412)
-        .put("a/b", any_value())
+        .put("a/b", sample_value())
         .put_with_lease("live/lead", 1.into(), 7)
         .delete("c/d");
     assert_round_trip(table, "txn", &transaction);
@@ -85,22 +86,22 @@
 }
 
 fn check_changes(table: &mut FixtureTable) {
-    let changed = WatchEvent::Put {
+    let put = WatchEvent::Put {
         key: "c/9".into(),
-        value: any_value(),
+        value: sample_value(),
         version: 433,
     };
-    assert_round_trip(table, "event_put", &changed);
-    let deleted = WatchEvent::Delete {
+    assert_round_trip(table, "event_put", &put);
+    let delete = WatchEvent::Delete {
         key: "c/d".into(),
         version: 432,
     };
-    assert_round_trip(table, "event_delete", &deleted);
+    assert_round_trip(table, "event_delete", &delete);
     let changes = |events| Changes {
         revision: 433,
         events,
     };
-    assert_round_trip(table, "changes", &changes(vec![changed, deleted]));
+    assert_round_trip(table, "changes", &changes(vec![put, delete]));
     assert_round_trip(table, "changes_none", &changes(Vec::new()));
 }
 
--- a/tests/wire_format/messages/users.rs
+++ b/tests/wire_format/messages/users.rs
@@ -1,11 +1,12 @@
-//! Messages of users.
+//! Tests of the messages exchanged with users.
 
 use super::super::fixture_table::FixtureTable;
 use super::{assert_decodes, assert_round_trip};
 use umbervale::wire::encode;
 use umbervale::wire::user::{JobKind, JobState, JobStatus, JobSubmission, Priority, Refusal};
 
-fn minimal_job() -> JobSubmission {
+/// Returns a submission without optional fields and with the smallest or zero amounts.
+fn minimal_submission() -> JobSubmission {
     JobSubmission {
         id: "run-1".into(),
         class: "train".into(),
@@ -31,7 +32,8 @@
     }
 }
 
-pub(super) fn full_job() -> JobSubmission {
+/// Returns a submission with all optional fields.
+pub(super) fn full_submission() -> JobSubmission {
     JobSubmission {
         id: "run-000412".into(),
         class: "train".into(),
@@ -60,18 +62,18 @@
 #[test]
 fn submissions_match_the_fixtures() {
     let mut table = FixtureTable::open("wire/submissions.txt");
-    assert_round_trip(&mut table, "minimal", &minimal_job());
-    assert_round_trip(&mut table, "full", &full_job());
+    assert_round_trip(&mut table, "minimal", &minimal_submission());
+    assert_round_trip(&mut table, "full", &full_submission());
     for (name, kind) in [
         ("kind_array", JobKind::Array),
         ("kind_gang", JobKind::Gang),
         ("kind_service", JobKind::Service),
     ] {
-        let job = JobSubmission {
+        let submission = JobSubmission {
             kind,
-            ..minimal_job()
+            ..minimal_submission()
         };
-        assert_round_trip(&mut table, name, &job);
+        assert_round_trip(&mut table, name, &submission);
     }
     for (name, priority) in [
         ("priority_low", Priority::Low),
@@ -79,22 +81,22 @@
         ("priority_high", Priority::High),
         ("priority_production", Priority::Production),
     ] {
-        let job = JobSubmission {
+        let submission = JobSubmission {
             priority,
-            ..minimal_job()
+            ..minimal_submission()
         };
-        assert_round_trip(&mut table, name, &job);
+        assert_round_trip(&mut table, name, &submission);
     }
     let no_types = JobSubmission {
         machine_types: Some(Vec::new()),
-        ..minimal_job()
+        ..minimal_submission()
     };
     assert_round_trip(&mut table, "no_types", &no_types);
-    assert_decodes(&mut table, "optional_left_out", &minimal_job());
-    assert_decodes(&mut table, "awaits_null", &minimal_job());
-    assert_decodes(&mut table, "awaits_repeated", &full_job());
-    assert_decodes(&mut table, "unknown_fields", &full_job());
-    assert_decodes(&mut table, "whole_amounts", &minimal_job());
+    assert_decodes(&mut table, "optional_left_out", &minimal_submission());
+    assert_decodes(&mut table, "awaits_null", &minimal_submission());
+    assert_decodes(&mut table, "awaits_repeated", &full_submission());
+    assert_decodes(&mut table, "unknown_fields", &full_submission());
+    assert_decodes(&mut table, "whole_amounts", &minimal_submission());
     table.finish();
 }
 
@@ -118,7 +120,7 @@
         assert_round_trip(&mut table, &with_counts, &status(state, Some((3, 100_000))));
     }
     for (name, error) in [("refusal", "unknown team"), ("refusal_empty", "")] {
-        // Only written.
+        // A `Refusal` can only be encoded.
         assert_eq!(encode(&Refusal { error }), table.take_bytes(name), "{name}");
     }
     table.finish();
--- a/tests/wire_format/messages/workers.rs
+++ b/tests/wire_format/messages/workers.rs
@@ -1,4 +1,4 @@
-//! Messages of workers.
+//! Tests of the messages exchanged with workers.
 
 use super::super::fixture_table::FixtureTable;
 use super::{assert_decodes, assert_round_trip};
@@ -21,6 +21,7 @@
     }
 }
 
+/// Returns a heartbeat without optional fields and without tasks.
 fn minimal_heartbeat() -> Heartbeat {
     Heartbeat {
         machine: "host-000231".into(),
@@ -36,6 +37,7 @@
     }
 }
 
+/// Returns a heartbeat with all optional fields and two tasks.
 pub(super) fn full_heartbeat() -> Heartbeat {
     Heartbeat {
         spot: true,
@@ -87,14 +89,14 @@
     table.finish();
 }
 
-fn start() -> WorkerCommand {
+fn start_command() -> WorkerCommand {
     WorkerCommand::Start {
         task: "run-000412/4".into(),
         attempt: 2,
     }
 }
 
-fn stop(grace_s: u64) -> WorkerCommand {
+fn stop_command(grace_s: u64) -> WorkerCommand {
     WorkerCommand::Stop {
         task: "run-000377/1".into(),
         attempt: 1 << 40,
@@ -102,7 +104,7 @@
     }
 }
 
-fn forget() -> WorkerCommand {
+fn forget_command() -> WorkerCommand {
     WorkerCommand::Forget {
         task: "run-000398/0".into(),
         attempt: 1,
@@ -112,17 +114,17 @@
 #[test]
 fn worker_responses_and_commands_match_the_fixtures() {
     let mut table = FixtureTable::open("wire/orders.txt");
-    assert_round_trip(&mut table, "start", &start());
-    assert_round_trip(&mut table, "stop", &stop(10));
-    assert_round_trip(&mut table, "stop_at_once", &stop(0));
-    assert_round_trip(&mut table, "forget", &forget());
-    let all = || vec![start(), stop(10), forget()];
-    let answer = |fencing_token, commands| HeartbeatResponse {
+    assert_round_trip(&mut table, "start", &start_command());
+    assert_round_trip(&mut table, "stop", &stop_command(10));
+    assert_round_trip(&mut table, "stop_at_once", &stop_command(0));
+    assert_round_trip(&mut table, "forget", &forget_command());
+    let all_commands = || vec![start_command(), stop_command(10), forget_command()];
+    let response = |fencing_token, commands| HeartbeatResponse {
         fencing_token,
         commands,
     };
-    assert_round_trip(&mut table, "answer", &answer(41, all()));
-    assert_round_trip(&mut table, "answer_empty", &answer(u64::MAX, Vec::new()));
+    assert_round_trip(&mut table, "answer", &response(41, all_commands()));
+    assert_round_trip(&mut table, "answer_empty", &response(u64::MAX, Vec::new()));
     assert_round_trip(&mut table, "answer_default", &HeartbeatResponse::default());
     let redirect = LeaderRedirect {
         leader: Some("drone-2".into()),
@@ -135,7 +137,7 @@
         incarnation: 1,
         commands,
     };
-    assert_round_trip(&mut table, "direct", &direct(all()));
+    assert_round_trip(&mut table, "direct", &direct(all_commands()));
     assert_round_trip(&mut table, "direct_empty", &direct(Vec::new()));
     table.finish();
 }
