--- a/tests/http/client.rs
+++ b/tests/http/client.rs
@@ -54,7 +54,7 @@
     }
 
     /// Sends a request and returns the status of the response.
-    pub(crate) async fn send_for_status(
+    pub(crate) async fn status_for(
         &self,
         method: Method,
         path: &str,
@@ -65,19 +65,19 @@
 
     /// Submits a job and returns the status of the response.
     pub(crate) async fn submit(&self, body: Vec<u8>) -> u16 {
-        self.send_for_status(Method::POST, "/submissions", Some(body))
+        self.status_for(Method::POST, "/submissions", Some(body))
             .await
     }
 
     /// Sends a `GET` request and returns the status of the response.
     pub(crate) async fn get(&self, path: &str) -> u16 {
-        self.send_for_status(Method::GET, path, None).await
+        self.status_for(Method::GET, path, None).await
     }
 
     /// Cancels the job at a path and returns the status of the response.
     pub(crate) async fn cancel(&self, job_path: &str) -> u16 {
         let path = format!("{job_path}/cancel");
-        self.send_for_status(Method::POST, &path, None).await
+        self.status_for(Method::POST, &path, None).await
     }
 
     /// Queries the job at a path and returns its state.
--- a/tests/http/overload.rs
+++ b/tests/http/overload.rs
@@ -186,11 +186,7 @@
         loop {
             heartbeat.sequence += 1;
             let body = Some(encode(&heartbeat));
-            if client
-                .send_for_status(Method::POST, "/v1/report", body)
-                .await
-                == 200
-            {
+            if client.status_for(Method::POST, "/v1/report", body).await == 200 {
                 return;
             }
         }
@@ -215,9 +211,7 @@
     heartbeat.sequence += 1;
     let body = Some(encode(&heartbeat));
     assert_eq!(
-        client
-            .send_for_status(Method::POST, "/v1/report", body)
-            .await,
+        client.status_for(Method::POST, "/v1/report", body).await,
         200
     );
     assert_eq!(client.get("/ready").await, 200);
--- a/tests/http/peers.rs
+++ b/tests/http/peers.rs
@@ -18,7 +18,7 @@
     let body = submission(|_| {});
     assert_eq!(client.submit(body).await, 201);
     let path = "/submissions/run-000412/cancel";
-    assert_eq!(client.send_for_status(Method::POST, path, None).await, 200);
+    assert_eq!(client.status_for(Method::POST, path, None).await, 200);
     let cancelled_job = async {
         let (mut stream, _) = peer.accept().await.unwrap();
         loop {
--- a/tests/http/users.rs
+++ b/tests/http/users.rs
@@ -54,7 +54,7 @@
     check_refused_submissions(&client).await;
     check_accepted_submission(&client).await;
     assert_eq!(client.get("/nowhere").await, 404);
-    let delete = client.send_for_status(Method::DELETE, "/submissions", None);
+    let delete = client.status_for(Method::DELETE, "/submissions", None);
     assert_eq!(delete.await, 405);
 
     service.unavailable.store(true, Ordering::Relaxed);
@@ -110,7 +110,7 @@
 /// Guards against an accepted job whose record exceeds the limit on the size of a value: a submission
 /// is refused if its record does not fit under the lower of the current and the upcoming limit.
 #[tokio::test]
-async fn submission_larger_than_a_value_is_refused() {
+async fn submission_whose_record_exceeds_the_value_limit_is_refused() {
     let smaller_values = |text: String| text.replace("value_kb = 8.0", "value_kb = 2.0");
     let (client, _service) = start_node_with_settings(smaller_values).await;
     let submit = |body| client.submit(body);
--- a/tests/http/workers.rs
+++ b/tests/http/workers.rs
@@ -12,7 +12,7 @@
     let (client, _service) = start_node().await;
     assert_eq!(
         client
-            .send_for_status(Method::POST, "/v1/report", Some(b"\x81".to_vec()))
+            .status_for(Method::POST, "/v1/report", Some(b"\x81".to_vec()))
             .await,
         400
     );
