--- a/src/api/connections.rs
+++ b/src/api/connections.rs
@@ -22,17 +22,17 @@
 
 /// The connections that a listener has open, and their limits. Clones share them.
 #[derive(Clone)]
-pub struct Connections {
+pub struct ConnectionLimiter {
     permits: Arc<Semaphore>,
     max_connections: usize,
     idle_timeout: Duration,
 }
 
-impl Connections {
+impl ConnectionLimiter {
     /// At most `max_connections` at once; each is closed when nothing was read from it for
     /// `idle_timeout`.
     pub fn new(max_connections: usize, idle_timeout: Duration) -> Self {
-        Connections {
+        ConnectionLimiter {
             permits: Arc::new(Semaphore::new(max_connections)),
             max_connections,
             idle_timeout,
@@ -54,11 +54,11 @@
 /// A listener that accepts a connection only within the limit.
 pub(super) struct LimitedListener {
     inner: TcpListener,
-    connections: Connections,
+    connections: ConnectionLimiter,
 }
 
 impl LimitedListener {
-    pub(super) fn new(inner: TcpListener, connections: Connections) -> Self {
+    pub(super) fn new(inner: TcpListener, connections: ConnectionLimiter) -> Self {
         LimitedListener { inner, connections }
     }
 }
--- a/src/api/connections/tests.rs
+++ b/src/api/connections/tests.rs
@@ -8,7 +8,7 @@
     let inner = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = inner.local_addr().unwrap();
     let idle_timeout = Duration::from_secs(20);
-    let connections = Connections::new(1, idle_timeout);
+    let connections = ConnectionLimiter::new(1, idle_timeout);
     let mut listener = LimitedListener::new(inner, connections.clone());
     let mut client = TcpStream::connect(addr).await.unwrap();
     let (mut connection, _) = listener.accept().await;
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -22,7 +22,7 @@
 mod submission_checks;
 mod submissions;
 
-pub use connections::Connections;
+pub use connections::ConnectionLimiter;
 pub use server::serve;
 
 use crate::constants;
@@ -83,7 +83,7 @@
     }
 
     /// The routes; `connections` are those that the listener has open.
-    pub fn router(self: Arc<Self>, connections: Connections) -> Router {
+    pub fn router(self: Arc<Self>, connections: ConnectionLimiter) -> Router {
         let close_if_crowded = move |mut response: HttpResponse| {
             if connections.is_crowded() {
                 close_connection(&mut response);
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,6 +1,6 @@
 //! Accepts connections on `front` and serves HTTP on them, with bounded memory for each.
 
-use super::connections::{Connections, LimitedListener};
+use super::connections::{ConnectionLimiter, LimitedListener};
 use crate::constants;
 use axum::Router;
 use axum::serve::Listener;
@@ -11,7 +11,11 @@
 use tokio::net::TcpListener;
 
 /// Serves the routes on all connections; never returns.
-pub async fn serve(listener: TcpListener, router: Router, connections: Connections) -> Infallible {
+pub async fn serve(
+    listener: TcpListener,
+    router: Router,
+    connections: ConnectionLimiter,
+) -> Infallible {
     let mut http = http1::Builder::new();
     // The head of a request must arrive within the idle timeout: a client that sends a byte now and
     // then is never idle, and would keep its connection open. hyper runs this timer between two
--- a/src/api/server/tests.rs
+++ b/src/api/server/tests.rs
@@ -8,11 +8,11 @@
 
 const IDLE_TIMEOUT: Duration = Duration::from_secs(16);
 
-async fn start_server() -> (SocketAddr, Connections) {
+async fn start_server() -> (SocketAddr, ConnectionLimiter) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let router = Router::new().route("/", get(|| std::future::ready("here")));
-    let connections = Connections::new(4, IDLE_TIMEOUT);
+    let connections = ConnectionLimiter::new(4, IDLE_TIMEOUT);
     tokio::spawn(serve(listener, router, connections.clone()));
     (addr, connections)
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -33,7 +33,7 @@
     /// The request was executed, but the response is longer than
     /// [`constants::MAX_RESPONSE_BYTES`].
     #[error("answer over {} bytes", constants::MAX_RESPONSE_BYTES)]
-    TooLong,
+    ResponseTooLong,
 }
 
 /// Why a request was not sent.
@@ -190,7 +190,7 @@
             .await
             .map_err(|error| {
                 if error.is::<LengthLimitError>() {
-                    HttpError::TooLong
+                    HttpError::ResponseTooLong
                 } else {
                     HttpError::NoResponse(ResponseError::Body(error))
                 }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -49,7 +49,7 @@
     response.resize(response.len() + length, b'x');
     let address = server(response).await;
     let error = get(address, TIMEOUT).await.unwrap_err();
-    assert!(matches!(error, HttpError::TooLong), "{error}");
+    assert!(matches!(error, HttpError::ResponseTooLong), "{error}");
     assert_eq!(error.to_string(), "answer over 1048576 bytes");
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -7,7 +7,7 @@
 mod driver;
 mod peers;
 
-use crate::api::{self, Api, Connections};
+use crate::api::{self, Api, ConnectionLimiter};
 use crate::cloud::CloudClient;
 use crate::engine::{Engine, EngineStatus};
 use crate::engine_queue::CommandSender;
@@ -89,7 +89,7 @@
         }
         tasks.spawn(endpoint.serve(back));
 
-        let connections = Connections::new(
+        let connections = ConnectionLimiter::new(
             settings.front_connections(),
             settings.timing().max_connection_pause(),
         );
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes `amount` tokens even if they are not there; later calls wait the longer.
-    pub fn force(&self, amount: f64) {
+    pub fn acquire_unconditionally(&self, amount: f64) {
         let mut bucket = self.bucket();
         bucket.force(amount, self.started.elapsed());
     }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -78,7 +78,7 @@
     match (error, call) {
         (HttpError::NotSent(cause), _) => NotExecutedCause::from(cause).into(),
         // More has changed than is read at once: the records are read again, in pages.
-        (HttpError::TooLong, StoreCall::Watch { .. }) => StoreError::Compacted,
+        (HttpError::ResponseTooLong, StoreCall::Watch { .. }) => StoreError::Compacted,
         (error, _) => UnknownOutcomeCause::from(error).into(),
     }
 }
--- a/src/store/limits.rs
+++ b/src/store/limits.rs
@@ -76,7 +76,7 @@
     priority: CallPriority,
 ) -> Result<(), StoreError> {
     match priority {
-        CallPriority::Leadership => limiter.force(amount),
+        CallPriority::Leadership => limiter.acquire_unconditionally(amount),
         CallPriority::Engine => limiter.acquire(amount, 0.0).await,
         CallPriority::User => {
             if !limiter.try_acquire(amount, constants::RESERVED_RATE_SHARE) {
