--- a/src/api/bodies.rs
+++ b/src/api/bodies.rs
@@ -1,10 +1,10 @@
-//! Request bodies: read within the protocol's size, a bounded time, and a bounded amount of memory.
+//! Reads request bodies within limits on their size, the time to receive them, and their memory.
 //!
-//! All bodies that are held at one time share a budget that follows from the machine's memory. Users'
-//! requests may take only a part of it: a flood of large submissions is refused while workers'
-//! heartbeats, which renew their leases, are still read.
+//! All bodies in memory share one budget, which is derived from the machine's memory. Users'
+//! requests may take only part of that budget: when large submissions exceed it, they are refused,
+//! while workers' heartbeats, which renew the workers' leases, are still read.
 
-use super::responses::{HttpResponse, close_connection, refuse, unavailable};
+use super::responses::{HttpResponse, error_response, service_unavailable, set_connection_close};
 use crate::constants;
 use axum::body::Body;
 use axum::http::StatusCode;
@@ -12,25 +12,25 @@
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Who sends a body.
+/// The sender of a body, which decides how much of the budget the body may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BodySender {
-    /// A user: may take a part of the budget.
+    /// A user, whose bodies may take only the users' share of the budget.
     User,
-    /// A worker: may take all of it.
+    /// A worker, whose bodies may take the whole budget.
     Worker,
 }
 
-/// The memory that bodies may take at one time.
+/// A budget for the memory that all request bodies together may take.
 #[derive(Debug)]
 pub(super) struct BodyBudget {
-    /// Bytes for bodies of any sender.
+    /// Bytes available to bodies of any sender.
     total: Arc<Semaphore>,
-    /// Bytes for users' bodies, which count in the total as well.
-    users: Arc<Semaphore>,
+    /// Bytes available to users' bodies, which also count towards the total.
+    user_share: Arc<Semaphore>,
 }
 
-/// A body that was read. Its memory counts until this is dropped.
+/// A body that was read. Its bytes count towards the budget until it is dropped.
 #[derive(Debug, Default)]
 pub(super) struct ReceivedBody {
     bytes: Vec<u8>,
@@ -38,46 +38,47 @@
 }
 
 impl ReceivedBody {
-    /// The whole body.
+    /// Returns the whole body.
     pub(super) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-/// Why a body was not read. Senders see the texts.
+/// Reasons why a body was not read. The texts are sent to the body's sender.
 #[derive(Debug, thiserror::Error)]
 enum BodyError {
-    /// Longer than the protocol allows.
+    /// The body is longer than [`constants::MAX_BODY_BYTES`], the protocol's limit.
     #[error("body over 64 KiB")]
     TooLong,
-    /// So much longer that reading stopped.
+    /// The body is longer than [`constants::MAX_BODY_BYTES_READ`], at which reading stops.
     #[error("body can't be read")]
-    FarTooLong,
-    /// Broken off by its sender, or not well-formed HTTP.
+    ReadLimitExceeded,
+    /// The sender closed the connection before the end of the body, or the body is not valid HTTP.
     #[error("body can't be read")]
     Unreadable(#[source] axum::Error),
-    /// The sender took too long.
+    /// The body did not arrive within [`constants::BODY_TIMEOUT`].
     #[error("body did not arrive in time")]
     Timeout,
-    /// The budget is used up.
+    /// The body does not fit into the memory that is left in the budget.
     #[error("busy")]
-    NoMemory,
+    BudgetExhausted,
 }
 
 impl BodyBudget {
-    /// A budget of that many bytes.
+    /// Creates a budget of `bytes` bytes.
     pub(super) fn new(bytes: usize) -> Self {
         BodyBudget {
             total: Arc::new(Semaphore::new(bytes)),
-            users: Arc::new(Semaphore::new(bytes / constants::USER_BODY_DIVISOR)),
+            user_share: Arc::new(Semaphore::new(bytes / constants::USER_BODY_DIVISOR)),
         }
     }
 
-    /// Reads a body.
+    /// Reads a whole body.
     ///
     /// # Errors
     ///
-    /// The response that tells the sender why the body was not read.
+    /// Returns the response to send if the body is longer than allowed, can't be read, does not
+    /// arrive in time, or exceeds the budget.
     pub(super) async fn read(
         &self,
         body: Body,
@@ -91,6 +92,7 @@
         result.map_err(|error| error.to_response())
     }
 
+    /// Reads a whole body, without a timeout.
     async fn read_to_end(
         &self,
         mut body: Body,
@@ -104,10 +106,10 @@
                 continue;
             };
             length += data.len();
-            // A little more is read than allowed, to tell "too long" from "can't be read"; it is
-            // not kept.
+            // Reading continues somewhat past the allowed size to tell a body that is too long from
+            // one that can't be read. The bytes of such a body are discarded.
             if length > constants::MAX_BODY_BYTES_READ {
-                return Err(BodyError::FarTooLong);
+                return Err(BodyError::ReadLimitExceeded);
             }
             if length > constants::MAX_BODY_BYTES {
                 received = ReceivedBody::default();
@@ -122,19 +124,19 @@
         }
     }
 
-    /// Reserves the memory for the next bytes of a body.
+    /// Reserves memory for the next `bytes` bytes of a body, and adds the permits to `received`.
     fn reserve(
         &self,
         received: &mut ReceivedBody,
         bytes: usize,
         sender: BodySender,
     ) -> Result<(), BodyError> {
-        // The caller has checked that the bytes are no more than those of a whole body.
+        // The caller has checked that the body is within its size limit, so this never fails.
         let permits = u32::try_from(bytes).map_err(|_| BodyError::TooLong)?;
-        let users = (sender == BodySender::User).then_some(&self.users);
-        for budget in users.into_iter().chain([&self.total]) {
+        let user_share = (sender == BodySender::User).then_some(&self.user_share);
+        for budget in user_share.into_iter().chain([&self.total]) {
             let permit = budget.clone().try_acquire_many_owned(permits);
-            let permit = permit.map_err(|_| BodyError::NoMemory)?;
+            let permit = permit.map_err(|_| BodyError::BudgetExhausted)?;
             received.permits.push(permit);
         }
         Ok(())
@@ -142,21 +144,22 @@
 }
 
 impl BodyError {
-    /// What the sender is told.
+    /// Builds the response that tells the sender why the body was not read.
     fn to_response(&self) -> HttpResponse {
         let reason = self.to_string();
         match self {
-            BodyError::TooLong => refuse(StatusCode::BAD_REQUEST, &reason),
-            BodyError::FarTooLong | BodyError::Unreadable(_) => {
-                refuse(StatusCode::PAYLOAD_TOO_LARGE, &reason)
+            BodyError::TooLong => error_response(StatusCode::BAD_REQUEST, &reason),
+            BodyError::ReadLimitExceeded | BodyError::Unreadable(_) => {
+                error_response(StatusCode::PAYLOAD_TOO_LARGE, &reason)
             }
-            // Not 400: it may repeat a submission that was accepted, and was only delayed.
+            // The status is not 400, which would tell a user that the job is refused: the body may
+            // be a delayed repetition of a submission that was already accepted.
             BodyError::Timeout => {
-                let mut response = refuse(StatusCode::PAYLOAD_TOO_LARGE, &reason);
-                close_connection(&mut response);
+                let mut response = error_response(StatusCode::PAYLOAD_TOO_LARGE, &reason);
+                set_connection_close(&mut response);
                 response
             }
-            BodyError::NoMemory => unavailable(&reason),
+            BodyError::BudgetExhausted => service_unavailable(&reason),
         }
     }
 }
--- a/src/api/bodies/tests.rs
+++ b/src/api/bodies/tests.rs
@@ -4,11 +4,11 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A body that comes in frames of one size.
+/// A body that consists of frames of one size.
 struct FramedBody {
     frames_left: usize,
     size: usize,
-    /// Whether the sender stops after the last frame, without ending the body.
+    /// Whether the sender stops sending after the last frame without ending the body.
     stalls: bool,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-fn body_of(frames: usize, size: usize) -> Body {
+fn framed_body(frames: usize, size: usize) -> Body {
     Body::new(FramedBody {
         frames_left: frames,
         size,
@@ -42,43 +42,48 @@
 const KIB: usize = 1024;
 
 #[tokio::test]
-async fn bodies_are_read_up_to_the_size_limit() {
+async fn bodies_over_the_size_limit_are_refused_and_release_their_memory() {
     let budget = BodyBudget::new(1024 * KIB);
     let read = |body| budget.read(body, BodySender::User);
-    assert_eq!(read(body_of(64, KIB)).await.unwrap().bytes.len(), 64 * KIB);
-    assert_eq!(read(body_of(0, KIB)).await.unwrap().bytes.len(), 0);
-    assert_eq!(read(body_of(65, KIB)).await.unwrap_err().status(), 400);
-    // An endless body is not read to its end, and none of it is kept.
-    let endless = read(body_of(usize::MAX, KIB)).await.unwrap_err();
+    assert_eq!(
+        read(framed_body(64, KIB)).await.unwrap().bytes.len(),
+        64 * KIB
+    );
+    assert_eq!(read(framed_body(0, KIB)).await.unwrap().bytes.len(), 0);
+    assert_eq!(read(framed_body(65, KIB)).await.unwrap_err().status(), 400);
+    // Reading an endless body stops, and its bytes are released.
+    let endless = read(framed_body(usize::MAX, KIB)).await.unwrap_err();
     assert_eq!(endless.status(), 413);
     assert_eq!(budget.total.available_permits(), 1024 * KIB);
 }
 
-/// A body that never ends must not hold its memory for as long as its connection is open.
+/// Guards against a sender that stops in the middle of a body: without a timeout, the body would
+/// hold its memory for as long as the connection is open.
 #[tokio::test(start_paused = true)]
-async fn a_body_that_stalls_is_refused_after_the_timeout() {
+async fn stalled_body_is_refused_after_the_timeout() {
     let budget = BodyBudget::new(1024 * KIB);
-    let slow = Body::new(FramedBody {
+    let stalled = Body::new(FramedBody {
         frames_left: 3,
         size: KIB,
         stalls: true,
     });
-    let refusal = budget.read(slow, BodySender::Worker).await.unwrap_err();
-    // A 400 would tell the user that a job accepted before was refused.
+    let refusal = budget.read(stalled, BodySender::Worker).await.unwrap_err();
+    // The status is not 400, which would tell a user that a previously accepted job was refused.
     assert_eq!(refusal.status(), 413);
     assert_eq!(refusal.headers()["connection"], "close");
     assert_eq!(budget.total.available_permits(), 1024 * KIB);
 }
 
-/// Large submissions may take a part of a small machine's memory only. Beyond it users are told to
-/// retry, and heartbeats are still read.
+/// Guards against many large submissions that use up the memory of a small machine. Users' bodies
+/// may take only part of the budget: beyond it users are told to retry, and heartbeats are still
+/// read.
 #[tokio::test]
-async fn a_flood_of_submissions_leaves_memory_for_heartbeats() {
+async fn submissions_over_the_user_share_are_refused_while_heartbeats_are_read() {
     let budget = BodyBudget::new(512 * KIB);
     let mut bodies = Vec::new();
     let mut refused = 0;
     for _ in 0..20 {
-        match budget.read(body_of(64, KIB), BodySender::User).await {
+        match budget.read(framed_body(64, KIB), BodySender::User).await {
             Ok(body) => bodies.push(body),
             Err(refusal) => {
                 assert_eq!(refusal.status(), 503);
@@ -92,31 +97,31 @@
         (bodies.len(), refused),
         (max_user_bodies, 20 - max_user_bodies)
     );
-    let heartbeat = budget.read(body_of(64, KIB), BodySender::Worker).await;
+    let heartbeat = budget.read(framed_body(64, KIB), BodySender::Worker).await;
     assert_eq!(heartbeat.unwrap().bytes.len(), 64 * KIB);
-    // Memory is released when the bodies that held it are dropped.
+    // Dropping the bodies releases their memory.
     bodies.clear();
     assert!(
         budget
-            .read(body_of(64, KIB), BodySender::User)
+            .read(framed_body(64, KIB), BodySender::User)
             .await
             .is_ok()
     );
 }
 
-/// Heartbeats are bounded as well; one that is refused is repeated by its worker.
+/// Heartbeats are also limited to the budget. A worker repeats a heartbeat that was refused.
 #[tokio::test]
-async fn a_flood_of_heartbeats_stays_within_the_budget() {
+async fn heartbeats_over_the_budget_are_refused() {
     let budget = BodyBudget::new(128 * KIB);
     let first = budget
-        .read(body_of(64, KIB), BodySender::Worker)
+        .read(framed_body(64, KIB), BodySender::Worker)
         .await
         .unwrap();
     let second = budget
-        .read(body_of(64, KIB), BodySender::Worker)
+        .read(framed_body(64, KIB), BodySender::Worker)
         .await
         .unwrap();
-    let third = budget.read(body_of(1, 1), BodySender::Worker).await;
+    let third = budget.read(framed_body(1, 1), BodySender::Worker).await;
     assert_eq!(third.unwrap_err().status(), 503);
     drop((first, second));
     assert_eq!(budget.total.available_permits(), 128 * KIB);
--- a/src/api/cancellation.rs
+++ b/src/api/cancellation.rs
@@ -1,9 +1,9 @@
-//! Cancellations: durable in the state service first, then announced to all engines.
+//! Cancels jobs: writes the cancellation to the state service, then announces it to all engines.
 
 use super::Api;
 use super::final_states::FinalState;
 use super::lookup::StoredJob;
-use super::responses::{HttpResponse, unavailable};
+use super::responses::{HttpResponse, service_unavailable};
 use crate::constants;
 use crate::engine::{self, Command, FinalRecord, JobRecord};
 use crate::peer::Message;
@@ -11,10 +11,14 @@
 use crate::wire::store::Transaction;
 
 impl Api {
-    /// Cancels a job, and responds with its state; a job that is over stays as it is.
+    /// Cancels a job and responds with its status. A job that has ended stays unchanged.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of a call to the state service that failed.
     pub(super) async fn cancel(&self, id: &str) -> Result<HttpResponse, StoreError> {
         for _ in 0..constants::MAX_CANCELLATION_ATTEMPTS {
-            let (record, version) = match self.look_up(id).await? {
+            let (record, version) = match self.look_up_job(id).await? {
                 StoredJob::Active { record, version } => (Some(record), version),
                 StoredJob::Unreadable { version } => (None, version),
                 job @ (StoredJob::Unknown | StoredJob::Final(_)) => {
@@ -23,8 +27,8 @@
             };
             let tasks = record.as_ref().map_or(0, |record| record.job.tasks);
             let final_state = FinalState::cancelled(tasks);
-            let transaction = cancellation(id, record, version, final_state);
-            match self.call(StoreCall::Commit(transaction)).await {
+            let transaction = cancellation_transaction(id, record, version, final_state);
+            match self.call_store(StoreCall::Commit(transaction)).await {
                 Ok(_) => {
                     self.final_states.insert(id, final_state);
                     self.announce_cancellation(id);
@@ -35,20 +39,24 @@
                 Err(error) => return Err(error),
             }
         }
-        Ok(unavailable("changing"))
+        Ok(service_unavailable("changing"))
     }
 
     /// Announces a durable cancellation to all engines, so that a leader that can't reach the state
-    /// service stops the job's tasks at once. Nothing depends on it, so it is left out if too many
-    /// announcements are in progress.
+    /// service stops the job's tasks at once. The announcement is best effort: it is skipped if too
+    /// many others are in progress.
     fn announce_cancellation(&self, id: &str) {
-        let Ok(permit) = self.cancellation_announcements.clone().try_acquire_owned() else {
+        let Ok(permit) = self
+            .cancellation_announcement_permits
+            .clone()
+            .try_acquire_owned()
+        else {
             return;
         };
         let (commands, peers) = (self.commands.clone(), self.peers.clone());
         let job = id.to_owned();
-        // Nothing waits for the task: each of its exchanges has a timeout, and the permits bound
-        // how many such tasks there are.
+        // No code waits for this task to end. Each of its exchanges has a timeout, and the permits
+        // limit the number of such tasks.
         tokio::spawn(async move {
             commands.send(Command::JobCancelled((&*job).into())).await;
             let message = Message::Cancelled { job };
@@ -62,9 +70,9 @@
     }
 }
 
-/// The transaction that cancels a job whose live record has that version; `record` is `None` if it
-/// can't be read.
-fn cancellation(
+/// Returns the transaction that cancels a job if its live record still has this version. `record`
+/// is `None` if the live record can't be decoded.
+fn cancellation_transaction(
     id: &str,
     record: Option<Box<JobRecord>>,
     version: u64,
@@ -74,7 +82,8 @@
     let transaction = Transaction::default().compare(&key, version);
     let transaction = match record {
         Some(record) => transaction.put(key, engine::job_value(&record.cancelled())),
-        // No task of a job whose record can't be read is ever started, so there is none to stop.
+        // No task of a job with an unreadable record is ever started, so there are no tasks for the
+        // leader to stop, and the live record can be deleted.
         None => transaction.delete(key),
     };
     let final_record = FinalRecord::from(final_state);
--- a/src/api/connections.rs
+++ b/src/api/connections.rs
@@ -1,12 +1,15 @@
-//! Connections on `front`, kept below the machine's limit of sockets, so that users, probes and
-//! workers can always open one.
+//! Keeps the number of connections on `front` below the machine's socket limit, so that users,
+//! readiness probes and workers can always open one.
 //!
-//! A machine that is gone leaves its connection open, and so does a network partition. A connection
-//! is closed when nothing was read from it for longer than any client pauses: otherwise those of
-//! returned machines would take all sockets in time, and the heartbeats of new machines would not
-//! get through. There may also be more workers than sockets: when few connections are left, each
-//! response closes its own, so that the rest is free for requests in progress. At the limit, new
-//! connections wait in the system's queue, and the load balancer takes another node.
+//! A machine that disappears leaves its connection open, and so does a network partition. Without
+//! an idle timeout, the connections of returned machines would eventually use up all sockets, and
+//! the heartbeats of new machines would not get through. A connection is therefore closed when
+//! nothing was read from it for longer than any client pauses between requests.
+//!
+//! There may also be more workers than sockets. When few connections are left, each response closes
+//! its connection, so that the remaining ones are available to requests in progress. At the limit,
+//! new connections wait in the operating system's accept queue, and the load balancer uses another
+//! node.
 
 use crate::constants;
 use std::io;
@@ -20,7 +23,8 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, Sleep, sleep};
 
-/// The connections that a listener has open, and their limits. Clones share them.
+/// Limits the number of connections that a listener has open, and how long they may be idle.
+/// Clones share the same limit.
 #[derive(Clone)]
 pub struct ConnectionLimiter {
     permits: Arc<Semaphore>,
@@ -29,8 +33,8 @@
 }
 
 impl ConnectionLimiter {
-    /// At most `max_connections` at once; each is closed when nothing was read from it for
-    /// `idle_timeout`.
+    /// Allows at most `max_connections` open connections. Each is closed when nothing was read from
+    /// it for `idle_timeout`.
     pub fn new(max_connections: usize, idle_timeout: Duration) -> Self {
         ConnectionLimiter {
             permits: Arc::new(Semaphore::new(max_connections)),
@@ -39,27 +43,28 @@
         }
     }
 
-    /// After this time without reading anything, a connection is closed.
+    /// Returns the time after which a connection is closed if nothing was read from it.
     pub(super) fn idle_timeout(&self) -> Duration {
         self.idle_timeout
     }
 
-    /// Whether so many are open that none should stay open between requests.
-    pub(super) fn is_crowded(&self) -> bool {
+    /// Reports whether so few connections are left that none should stay open between requests.
+    pub(super) fn is_near_limit(&self) -> bool {
         let spare_connections = self.max_connections / constants::SPARE_CONNECTIONS_DIVISOR;
         self.permits.available_permits() < spare_connections
     }
 }
 
-/// A listener that accepts a connection only within the limit.
+/// A listener that accepts a connection only while fewer than the maximum are open.
 pub(super) struct LimitedListener {
     inner: TcpListener,
-    connections: ConnectionLimiter,
+    limiter: ConnectionLimiter,
 }
 
 impl LimitedListener {
-    pub(super) fn new(inner: TcpListener, connections: ConnectionLimiter) -> Self {
-        LimitedListener { inner, connections }
+    /// Wraps a listener so that its connections count towards the limit of `limiter`.
+    pub(super) fn new(inner: TcpListener, limiter: ConnectionLimiter) -> Self {
+        LimitedListener { inner, limiter }
     }
 }
 
@@ -69,14 +74,14 @@
 
     async fn accept(&mut self) -> (LimitedConnection, SocketAddr) {
         loop {
-            let permit = self.connections.permits.clone().acquire_owned().await;
-            // axum's own accept waits and retries after an error, such as no free socket.
+            let permit = self.limiter.permits.clone().acquire_owned().await;
+            // axum's `accept` waits and retries after an error, for example when no socket is free.
             let (stream, addr) = axum::serve::Listener::accept(&mut self.inner).await;
-            // Without it responses only take longer.
+            // A failure to set TCP_NODELAY only makes responses slower.
             let _ = stream.set_nodelay(true);
-            // The semaphore is never closed, so there always is a permit.
+            // The semaphore is never closed, so `acquire_owned` always returns a permit.
             if let Ok(permit) = permit {
-                let idle_timeout = self.connections.idle_timeout;
+                let idle_timeout = self.limiter.idle_timeout;
                 return (LimitedConnection::new(stream, permit, idle_timeout), addr);
             }
         }
@@ -87,8 +92,8 @@
     }
 }
 
-/// A connection that fails when nothing was read from it for too long, and that counts as open
-/// until it is dropped.
+/// A connection whose reads fail with a timeout after nothing was read for the idle timeout. The
+/// connection counts towards the limit until it is dropped.
 pub(super) struct LimitedConnection {
     stream: TcpStream,
     _permit: OwnedSemaphorePermit,
@@ -119,7 +124,7 @@
             self.last_read = Instant::now();
             return Poll::Ready(result);
         }
-        // The timer is set again when it fires, not with each read, which would cost more.
+        // The timer is reset only when it fires: resetting it on each read would cost more.
         loop {
             ready!(self.idle_timer.as_mut().poll(context));
             let deadline = self.last_read + self.idle_timeout;
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,14 +1,14 @@
-//! What users, workers and the load balancer reach on `front`.
+//! The HTTP API that users, workers and the load balancer reach on the node's `front` address.
 //!
-//! Users' requests need no leader: any node answers them from a fresh read of the state service,
-//! or writes a submission or cancellation there by compare-and-swap. Only a final state, which
-//! cannot change, is answered from memory.
+//! Users' requests do not require a leader: any node answers them from a fresh read of the state
+//! service, or writes a submission or cancellation there by compare-and-swap. Only final
+//! states, which never change, are answered from a cache.
 //!
-//! This module has the routes, and `handlers` a handler for each. `submissions` and
-//! `cancellation` write jobs' records, with the checks of `submission_checks`; `lookup` reads
-//! the records, `final_states` caches those that are final, and `status` makes of them what users
-//! are told. `bodies` reads requests' bodies, `responses` builds the responses, `connections`
-//! bounds the connections, and `server` serves HTTP on them.
+//! This module defines the routes, and `handlers` has one handler for each. `submissions` and
+//! `cancellation` write job records; `submission_checks` validates submissions. `lookup` reads job
+//! records, `final_states` caches final states, and `status` builds the job status that users
+//! receive. `bodies` reads request bodies, `responses` builds responses, `connections` limits the
+//! open connections, and `server` serves HTTP on them.
 
 mod bodies;
 mod cancellation;
@@ -37,11 +37,11 @@
 use axum::routing::{get, post};
 use bodies::BodyBudget;
 use final_states::FinalStateCache;
-use responses::{HttpResponse, close_connection, unavailable};
+use responses::{HttpResponse, service_unavailable, set_connection_close};
 use std::sync::Arc;
 use tokio::sync::{Semaphore, watch};
 
-/// What the handlers of requests share.
+/// State shared by the request handlers.
 pub struct Api {
     settings: Arc<Settings>,
     store: Arc<StoreClient>,
@@ -49,17 +49,17 @@
     engine_status: watch::Receiver<EngineStatus>,
     peers: Arc<Vec<Link>>,
     final_states: FinalStateCache,
-    /// Permits for users' requests in progress.
-    user_calls: Semaphore,
-    /// Memory for the bodies of requests.
-    bodies: BodyBudget,
-    /// Permits for cancellations that are being announced to other nodes.
-    cancellation_announcements: Arc<Semaphore>,
+    /// Limits the number of users' requests in progress.
+    user_request_permits: Semaphore,
+    /// Limits the memory that request bodies take.
+    body_budget: BodyBudget,
+    /// Limits the number of cancellations that are being announced to other nodes.
+    cancellation_announcement_permits: Arc<Semaphore>,
 }
 
 impl Api {
-    /// The API of a node: `commands` leads to its engine, whose status is in `engine_status`;
-    /// `peers` are the other nodes.
+    /// Creates the API of a node. `commands` sends commands to the node's engine, `engine_status`
+    /// receives the engine's status, and `peers` are the links to the other nodes.
     pub fn new(
         settings: Arc<Settings>,
         store: Arc<StoreClient>,
@@ -67,8 +67,8 @@
         engine_status: watch::Receiver<EngineStatus>,
         peers: Arc<Vec<Link>>,
     ) -> Arc<Self> {
-        let bodies = BodyBudget::new(settings.body_budget());
-        let announcements = Semaphore::new(constants::MAX_CANCELLATION_NOTICES);
+        let body_budget = BodyBudget::new(settings.body_budget());
+        let announcement_permits = Semaphore::new(constants::MAX_CANCELLATION_NOTICES);
         Arc::new(Api {
             settings,
             store,
@@ -76,40 +76,41 @@
             engine_status,
             peers,
             final_states: FinalStateCache::new(),
-            user_calls: Semaphore::new(constants::MAX_USER_CALLS),
-            bodies,
-            cancellation_announcements: Arc::new(announcements),
+            user_request_permits: Semaphore::new(constants::MAX_USER_CALLS),
+            body_budget,
+            cancellation_announcement_permits: Arc::new(announcement_permits),
         })
     }
 
-    /// The routes; `connections` are those that the listener has open.
-    pub fn router(self: Arc<Self>, connections: ConnectionLimiter) -> Router {
-        let close_if_crowded = move |mut response: HttpResponse| {
-            if connections.is_crowded() {
-                close_connection(&mut response);
+    /// Returns the routes. When `connection_limiter` has few connections left, each response closes
+    /// its connection.
+    pub fn router(self: Arc<Self>, connection_limiter: ConnectionLimiter) -> Router {
+        let close_near_limit = move |mut response: HttpResponse| {
+            if connection_limiter.is_near_limit() {
+                set_connection_close(&mut response);
             }
             std::future::ready(response)
         };
         Router::new()
             .route("/submissions", post(handlers::submit))
-            .route("/submissions/{id}", get(handlers::poll))
+            .route("/submissions/{id}", get(handlers::get_status))
             .route("/submissions/{id}/cancel", post(handlers::cancel))
-            .route("/ready", get(handlers::ready))
+            .route("/ready", get(handlers::readiness))
             .route("/v1/report", post(handlers::heartbeat))
-            // `bodies` has a limit of its own.
+            // `BodyBudget` limits the size of bodies instead.
             .layer(DefaultBodyLimit::disable())
-            .layer(map_response(close_if_crowded))
+            .layer(map_response(close_near_limit))
             .with_state(self)
     }
 
-    /// Carries out a user's request within bounds: one of a limited number at once, for a limited
-    /// time. Beyond them, and when the state service fails, the response is a 503.
+    /// Processes a user's request within the limits on concurrent requests and on processing time.
+    /// The response is a 503 if a limit is exceeded or the state service fails.
     async fn serve_within_limits(
         &self,
         request: impl Future<Output = Result<HttpResponse, StoreError>> + Send,
     ) -> HttpResponse {
-        let Ok(_permit) = self.user_calls.try_acquire() else {
-            return unavailable("busy");
+        let Ok(_permit) = self.user_request_permits.try_acquire() else {
+            return service_unavailable("busy");
         };
         match tokio::time::timeout(constants::USER_TIMEOUT, request).await {
             Ok(Ok(response)) => response,
@@ -117,9 +118,9 @@
                 if matches!(error, StoreError::Malformed(_)) {
                     tracing::error!(%error, "state service can't serve a user's request");
                 }
-                unavailable("the state service can't be asked")
+                service_unavailable("the state service can't be asked")
             }
-            Err(_) => unavailable("the state service does not answer"),
+            Err(_) => service_unavailable("the state service does not answer"),
         }
     }
 }
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -1,9 +1,9 @@
-//! What users are told of a job.
+//! Builds the job status that users receive.
 
 use super::Api;
 use super::final_states::FinalState;
 use super::lookup::StoredJob;
-use super::responses::{HttpResponse, job_not_found, respond, unavailable};
+use super::responses::{HttpResponse, job_not_found, message_response, service_unavailable};
 use crate::engine::{Command, Reply};
 use crate::model::JobId;
 use crate::peer::Message;
@@ -11,7 +11,7 @@
 use crate::wire::user::{JobState, JobStatus};
 use axum::http::StatusCode;
 
-/// Numbers of a job's tasks, for display.
+/// Numbers of a job's tasks, for display only.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct TaskCounts {
     completed: u64,
@@ -19,39 +19,52 @@
 }
 
 impl Api {
-    /// Responds to a question about a job.
-    pub(super) async fn poll(&self, id: &str) -> Result<HttpResponse, StoreError> {
-        let job = self.look_up(id).await?;
+    /// Responds with the status of a job, or with a 404 if the job was never accepted.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the state service or the engine can't provide the job's state.
+    pub(super) async fn get_status(&self, id: &str) -> Result<HttpResponse, StoreError> {
+        let job = self.look_up_job(id).await?;
         self.respond_with_status(id, &job).await
     }
 
-    /// Responds with a job's status, or that there is no such job.
+    /// Responds with the status of a job that was looked up, or with a 404 if the job was never
+    /// accepted.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the state service or the engine can't provide the job's state.
     pub(super) async fn respond_with_status(
         &self,
         id: &str,
         job: &StoredJob,
     ) -> Result<HttpResponse, StoreError> {
-        Ok(match self.status(id, job).await? {
-            Some(status) => respond(StatusCode::OK, &status),
+        Ok(match self.job_status(id, job).await? {
+            Some(status) => message_response(StatusCode::OK, &status),
             None => job_not_found(),
         })
     }
 
-    /// Responds with the status of a job that was accepted before.
+    /// Responds with the status of a job that is known to have been accepted.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the state service or the engine can't provide the job's state.
     pub(super) async fn respond_to_accepted(
         &self,
         id: &str,
         job: &StoredJob,
     ) -> Result<HttpResponse, StoreError> {
-        Ok(match self.status(id, job).await? {
-            Some(status) => respond(StatusCode::OK, &status),
-            // Its record moved between two reads; the user retries.
-            None => unavailable("changing"),
+        Ok(match self.job_status(id, job).await? {
+            Some(status) => message_response(StatusCode::OK, &status),
+            // The job's records changed between two reads, so the user has to retry.
+            None => service_unavailable("changing"),
         })
     }
 
-    /// What a user is told of the job; `None` if it was never accepted.
-    async fn status(&self, id: &str, job: &StoredJob) -> Result<Option<JobStatus>, StoreError> {
+    /// Returns the status of a job, or `None` if the job was never accepted.
+    async fn job_status(&self, id: &str, job: &StoredJob) -> Result<Option<JobStatus>, StoreError> {
         let mut counts = TaskCounts::default();
         let state = match job {
             StoredJob::Unknown => return Ok(None),
@@ -61,10 +74,10 @@
                 }
                 final_state.state
             }
-            // That it was accepted and is not over is all that is known of it.
+            // The only known facts about this job are that it was accepted and has not ended.
             StoredJob::Unreadable { .. } => JobState::Queued,
             StoredJob::Active { record, .. } if record.waits() => {
-                self.blocked_state(id, record.job.tasks).await?
+                self.blocked_job_state(id, record.job.tasks).await?
             }
             StoredJob::Active { .. } => {
                 counts = self.task_counts(id).await;
@@ -82,22 +95,25 @@
         }))
     }
 
-    /// The state of a job whose record says that it waits for its dependencies: cancelled if one of
-    /// them is. The engine's answer rests on changes that were read after the question came.
-    async fn blocked_state(&self, id: &str, tasks: u64) -> Result<JobState, StoreError> {
-        let query = |reply| Command::QueryBlockedJob {
+    /// Returns the state of a job whose record says that it waits for its dependencies. The job is
+    /// cancelled if one of its dependencies is.
+    ///
+    /// The engine answers from changes that it read from the state service after it received the
+    /// query, so the answer is never older than the request.
+    async fn blocked_job_state(&self, id: &str, tasks: u64) -> Result<JobState, StoreError> {
+        let command = |reply| Command::QueryBlockedJob {
             job: id.into(),
             reply,
         };
-        match self.commands.request(query).await {
+        match self.commands.request(command).await {
             Some(Reply::BlockedJobState(Some(state))) => {
                 if state == JobState::Cancelled {
                     self.final_states.insert(id, FinalState::cancelled(tasks));
                 }
                 Ok(state)
             }
-            // Since its record was read it has been unblocked, or is over.
-            Some(Reply::BlockedJobState(None)) => match self.look_up(id).await? {
+            // The job was unblocked or has ended since its record was read.
+            Some(Reply::BlockedJobState(None)) => match self.look_up_job(id).await? {
                 StoredJob::Active { record, .. } if !record.waits() => Ok(JobState::Queued),
                 StoredJob::Final(final_state) => Ok(final_state.state),
                 _ => Err(NotExecutedCause::RecordMoved.into()),
@@ -106,12 +122,12 @@
         }
     }
 
-    /// Numbers of a job's tasks, for display: from this node if it leads, else from the leader, else
-    /// zeros.
+    /// Returns the numbers of a job's tasks for display: from this node's engine if this node is
+    /// the leader, otherwise from the leader. The numbers are zero if neither answers.
     async fn task_counts(&self, id: &str) -> TaskCounts {
         let status = self.engine_status.borrow().clone();
         if status.leading
-            && let Some(counts) = self.own_task_counts(id).await
+            && let Some(counts) = self.local_task_counts(id).await
         {
             return counts;
         }
@@ -129,12 +145,13 @@
         TaskCounts::default()
     }
 
-    async fn own_task_counts(&self, id: &str) -> Option<TaskCounts> {
-        let query = |reply| Command::CountTasks {
+    /// Returns the numbers of a job's tasks from this node's engine, if the engine has them.
+    async fn local_task_counts(&self, id: &str) -> Option<TaskCounts> {
+        let command = |reply| Command::CountTasks {
             job: JobId::from(id),
             reply,
         };
-        match self.commands.request(query).await {
+        match self.commands.request(command).await {
             Some(Reply::TaskCounts { completed, running }) => {
                 Some(TaskCounts { completed, running })
             }
--- a/src/api/submission_checks.rs
+++ b/src/api/submission_checks.rs
@@ -1,28 +1,28 @@
-//! Whether a submission is well-formed, and whether its job could ever run.
+//! Checks that a submission is well-formed and that the cluster could ever run its job.
 
 use crate::model::{JobId, JobSpec, MachineType, MachineTypes};
 use crate::settings::Settings;
 use crate::wire::user::{InvalidSubmission, JobKind, JobSubmission};
 use crate::wire::{DecodeError, decode};
 
-/// Why a body is not a submission. Users see the texts.
+/// Reasons why a body is not a valid submission. The texts are sent to users.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MalformedSubmission {
-    /// It is not a message of the expected form.
+    /// The body can't be decoded as a submission.
     #[error(transparent)]
     Undecodable(#[from] DecodeError),
-    /// A field's value is not allowed.
+    /// A field has a value that is not allowed.
     #[error(transparent)]
     Invalid(#[from] InvalidSubmission),
-    /// Its record would not fit into a value of the state service.
+    /// The job's record would exceed the maximum size of a value in the state service.
     #[error("models and awaits: too long together")]
     RecordTooLarge,
 }
 
-/// Why a well-formed submission is rejected. Users see the texts.
+/// Reasons why a well-formed submission is rejected. The texts are sent to users.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RejectedSubmission {
-    /// The settings have no such team.
+    /// The settings define no team with this name.
     #[error("crew: no team {team:?}")]
     UnknownTeam {
         /// The team's name.
@@ -46,15 +46,19 @@
     /// The job depends on itself.
     #[error("awaits: names the job itself")]
     DependsOnItself,
-    /// The job depends on one that was never accepted.
+    /// The job depends on a job that was never accepted.
     #[error("awaits: {job} was never accepted")]
     UnknownDependency {
-        /// The dependency.
+        /// Id of the job that was never accepted.
         job: JobId,
     },
 }
 
-/// Reads and checks the body of a submission.
+/// Decodes and validates the body of a submission.
+///
+/// # Errors
+///
+/// Returns an error if the body can't be decoded or a field has a value that is not allowed.
 pub(super) fn parse_submission(body: &[u8]) -> Result<JobSubmission, MalformedSubmission> {
     let job: JobSubmission = decode(body)?;
     job.validate()?;
@@ -62,7 +66,11 @@
 }
 
 /// Checks whether the job could ever run: its team exists, a task fits an allowed machine type, and
-/// the least that it needs at once is within the team's limit.
+/// the smallest amount of resources that the job needs at one time is within the team's limit.
+///
+/// # Errors
+///
+/// Returns the first of these conditions that is not met.
 pub(super) fn check_runnable(
     job: &JobSubmission,
     settings: &Settings,
@@ -86,14 +94,15 @@
     })
 }
 
-/// Whether a task of the job may use machines of that type, in one of the type's zones, and fits.
+/// Reports whether the job allows this machine type and one of the type's zones, and a task of the
+/// job fits a machine of the type.
 fn can_run_on(spec: &JobSpec, machine_type: &MachineType) -> bool {
-    let zone_is_allowed = |zone| spec.zone.as_ref().is_none_or(|allowed| allowed == zone);
-    let type_is_allowed = spec
+    let is_allowed_zone = |zone| spec.zone.as_ref().is_none_or(|allowed| allowed == zone);
+    let is_allowed_type = spec
         .machine_types
         .as_ref()
         .is_none_or(|allowed| allowed.contains(&machine_type.name));
-    type_is_allowed
-        && machine_type.zones.iter().any(zone_is_allowed)
+    is_allowed_type
+        && machine_type.zones.iter().any(is_allowed_zone)
         && spec.request.fits_in(machine_type.capacity)
 }
--- a/src/bounded_map.rs
+++ b/src/bounded_map.rs
@@ -1,24 +1,24 @@
-//! A map of bounded size that drops its oldest entry for a new one.
+//! A map of bounded size with first-in, first-out eviction.
 //!
-//! No library has it: the caches there drop the entry that was used least recently or least often,
-//! while here an entry's age counts from its first insertion, and neither reading nor replacing it
-//! keeps it longer.
+//! No cache library has this eviction order: they evict the entry that was used least recently or
+//! least often. In this map, the age of an entry counts from its first insertion. Neither reading
+//! an entry nor replacing its value keeps the entry longer.
 
 use std::borrow::Borrow;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A map that holds at most `capacity` entries. The keys in `insertion_order` are those of
-/// `values`.
+/// A map that holds at most `capacity` entries and evicts the oldest one for a new one.
+/// `insertion_order` always contains exactly the keys of `values`.
 #[derive(Debug)]
 pub struct BoundedMap<K, V> {
     capacity: usize,
     values: BTreeMap<K, V>,
-    /// Oldest first.
+    /// The keys in the order of their first insertion, oldest first.
     insertion_order: VecDeque<K>,
 }
 
 impl<K: Ord + Clone, V> BoundedMap<K, V> {
-    /// An empty map.
+    /// Creates an empty map that holds at most `capacity` entries.
     pub fn new(capacity: usize) -> Self {
         BoundedMap {
             capacity,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The value of a key.
+    /// Returns the value of a key, if the map contains the key.
     pub fn get<Q: Ord + ?Sized>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
@@ -36,7 +36,7 @@
     }
 
     /// Sets the value of a key. If the map is full and the key is new, the oldest entry is
-    /// dropped.
+    /// evicted.
     pub fn insert(&mut self, key: K, value: V) {
         if self.values.insert(key.clone(), value).is_none() {
             self.insertion_order.push_back(key);
--- a/src/bounded_map/tests.rs
+++ b/src/bounded_map/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_oldest_entry_is_dropped() {
+fn inserting_into_a_full_map_evicts_the_oldest_entry() {
     let mut map = BoundedMap::new(2);
     for id in ["a", "b", "b", "c"] {
         map.insert(id, 1);
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that the clients of the state service, the cloud and the workers share.
+//! The HTTP client that the clients of the state service, the cloud and the workers use.
 
 use crate::constants;
 use crate::wire::encode;
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A response that was read to its end.
+/// A response with its complete body.
 #[derive(Debug, Clone)]
 pub struct HttpResponse {
     /// The status code.
@@ -21,74 +21,74 @@
     pub body: Bytes,
 }
 
-/// Why a request got no response.
+/// Reasons why a request got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The request certainly was not sent.
+    /// The request was not sent, so it was not executed.
     #[error("not sent: {0}")]
     NotSent(#[source] SendError),
     /// The request was sent and may have been executed.
     #[error("no answer: {0}")]
     NoResponse(#[source] ResponseError),
-    /// The request was executed, but the response is longer than
+    /// The request was executed, but the body of the response is longer than
     /// [`constants::MAX_RESPONSE_BYTES`].
     #[error("answer over {} bytes", constants::MAX_RESPONSE_BYTES)]
     ResponseTooLong,
 }
 
-/// Why a request was not sent.
+/// Reasons why a request was not sent.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
     /// The request can't be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// No connection could be set up.
+    /// No connection could be established.
     #[error(transparent)]
     Connect(#[from] hyper_util::client::legacy::Error),
 }
 
-/// Why a request that was sent got no response.
+/// Reasons why a request that was sent got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// The connection failed before the head of the response came.
+    /// The connection failed before the head of the response arrived.
     #[error(transparent)]
     Head(hyper_util::client::legacy::Error),
-    /// The connection failed before the end of the body came.
+    /// The connection failed before the end of the body arrived.
     #[error("{0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The response did not come in time.
+    /// The response did not arrive within the timeout.
     #[error("timed out")]
     Timeout,
 }
 
-/// The parts of a request that depend on what is asked.
+/// The method, path and body of a request, without the address to which it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct HttpRequest {
     /// The method.
     pub(crate) method: Method,
-    /// The path with its query.
+    /// The path and query string.
     pub(crate) path: Cow<'static, str>,
-    /// The encoded body, if there is one.
+    /// The encoded body, if the request has one.
     pub(crate) body: Option<Vec<u8>>,
 }
 
 impl HttpRequest {
-    /// A GET request.
+    /// Creates a GET request.
     pub(crate) fn get(path: impl Into<Cow<'static, str>>) -> Self {
         Self::without_body(Method::GET, path)
     }
 
-    /// A DELETE request.
+    /// Creates a DELETE request.
     pub(crate) fn delete(path: impl Into<Cow<'static, str>>) -> Self {
         Self::without_body(Method::DELETE, path)
     }
 
-    /// A POST request without a body.
+    /// Creates a POST request without a body.
     pub(crate) fn post_empty(path: impl Into<Cow<'static, str>>) -> Self {
         Self::without_body(Method::POST, path)
     }
 
-    /// A POST request with a message as its body.
+    /// Creates a POST request whose body is a message encoded in MessagePack.
     pub(crate) fn post<T: Serialize>(path: &'static str, message: &T) -> Self {
         HttpRequest {
             method: Method::POST,
@@ -106,7 +106,7 @@
     }
 }
 
-/// An HTTP client with a pool of connections, which its clones share.
+/// An HTTP client with a connection pool. Clones share the pool.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     inner: Client<HttpConnector, Full<Bytes>>,
@@ -119,7 +119,7 @@
 }
 
 impl HttpClient {
-    /// A client that keeps up to `max_idle` idle connections to each address.
+    /// Creates a client that keeps up to `max_idle` idle connections to each address.
     pub fn with_max_idle_connections(max_idle: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     ///
-    /// Those of [`HttpClient::call`].
+    /// Returns the same errors as [`HttpClient::call`].
     pub(crate) async fn send(
         &self,
         address: SocketAddr,
@@ -147,13 +147,14 @@
         self.call(method, address, &path, body, timeout).await
     }
 
-    /// Sends a request with an encoded body, if any, and reads its whole response within
+    /// Sends a request, with an encoded body if there is one, and reads its whole response within
     /// `timeout`.
     ///
     /// # Errors
     ///
-    /// If there is no whole response by then; the error tells whether the request may have been
-    /// executed.
+    /// Returns [`HttpError::NotSent`] if the request was not sent, [`HttpError::NoResponse`] if it
+    /// was sent but no complete response arrived in time, so that it may have been executed, and
+    /// [`HttpError::ResponseTooLong`] if it was executed but its response is too long.
     pub async fn call(
         &self,
         method: Method,
@@ -176,6 +177,7 @@
             .unwrap_or(Err(HttpError::NoResponse(ResponseError::Timeout)))
     }
 
+    /// Sends a request and reads its whole response, without an overall timeout.
     async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<HttpResponse, HttpError> {
         let response = self.inner.request(request).await.map_err(|error| {
             if error.is_connect() {
--- a/src/rate_limit.rs
+++ b/src/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits for calls to the state service and the cloud.
+//! A rate limiter for calls to the state service and the cloud.
 
 mod token_bucket;
 
@@ -6,48 +6,50 @@
 use token_bucket::{InsufficientTokens, TokenBucket};
 use tokio::time::Instant;
 
-/// A token bucket with its clock, shared by concurrent calls.
+/// A token bucket with a clock, which concurrent calls share.
 #[derive(Debug)]
 pub struct RateLimiter {
     bucket: Mutex<TokenBucket>,
-    started: Instant,
+    created_at: Instant,
 }
 
 impl RateLimiter {
-    /// Allows `rate` tokens a second, and at once as many as come in `burst_s` seconds.
+    /// Creates a limiter that allows `rate` tokens per second on average, and bursts of up to the
+    /// tokens of `burst_s` seconds.
     pub fn new(rate: f64, burst_s: f64) -> Self {
         RateLimiter {
             bucket: Mutex::new(TokenBucket::new(rate, burst_s)),
-            started: Instant::now(),
+            created_at: Instant::now(),
         }
     }
 
-    /// Takes `amount` tokens, waiting until they are there beside the share `reserve` of a full
-    /// bucket.
-    pub async fn acquire(&self, amount: f64, reserve: f64) {
-        while let Err(InsufficientTokens { retry_after }) = self.take(amount, reserve) {
+    /// Takes `amount` tokens. Waits until the bucket holds them in addition to the reserve, which
+    /// is the share `reserved_share` of a full bucket.
+    pub async fn acquire(&self, amount: f64, reserved_share: f64) {
+        while let Err(InsufficientTokens { retry_after }) = self.try_take(amount, reserved_share) {
             tokio::time::sleep(retry_after).await;
         }
     }
 
-    /// Takes `amount` tokens if they are there beside the share `reserve` of a full bucket;
-    /// returns whether it did.
-    pub fn try_acquire(&self, amount: f64, reserve: f64) -> bool {
-        self.take(amount, reserve).is_ok()
+    /// Takes `amount` tokens if the bucket holds them in addition to the reserve, which is the
+    /// share `reserved_share` of a full bucket. Reports whether the tokens were taken.
+    pub fn try_acquire(&self, amount: f64, reserved_share: f64) -> bool {
+        self.try_take(amount, reserved_share).is_ok()
     }
 
-    /// Takes `amount` tokens even if they are not there; later calls wait the longer.
+    /// Takes `amount` tokens without waiting, even if the bucket does not hold them. Later calls
+    /// wait correspondingly longer.
     pub fn acquire_unconditionally(&self, amount: f64) {
-        let mut bucket = self.bucket();
-        bucket.force(amount, self.started.elapsed());
+        let mut bucket = self.lock_bucket();
+        bucket.take_unconditionally(amount, self.created_at.elapsed());
     }
 
-    fn take(&self, amount: f64, reserve: f64) -> Result<(), InsufficientTokens> {
-        let mut bucket = self.bucket();
-        bucket.take(amount, reserve, self.started.elapsed())
+    fn try_take(&self, amount: f64, reserved_share: f64) -> Result<(), InsufficientTokens> {
+        let mut bucket = self.lock_bucket();
+        bucket.try_take(amount, reserved_share, self.created_at.elapsed())
     }
 
-    fn bucket(&self) -> MutexGuard<'_, TokenBucket> {
+    fn lock_bucket(&self) -> MutexGuard<'_, TokenBucket> {
         self.bucket.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
