--- a/src/api/handlers.rs
+++ b/src/api/handlers.rs
@@ -28,7 +28,7 @@
     State(api): State<Arc<Api>>,
     Path(id): Path<String>,
 ) -> HttpResponse {
-    if !user::is_valid_id(&id) {
+    if !user::is_valid_job_id(&id) {
         return job_not_found();
     }
     api.serve_within_limits(api.get_status(&id)).await
@@ -36,7 +36,7 @@
 
 /// Handles a user's request to cancel a job.
 pub(super) async fn cancel(State(api): State<Arc<Api>>, Path(id): Path<String>) -> HttpResponse {
-    if !user::is_valid_id(&id) {
+    if !user::is_valid_job_id(&id) {
         return job_not_found();
     }
     api.serve_within_limits(api.cancel(&id)).await
--- a/src/api/status.rs
+++ b/src/api/status.rs
@@ -76,7 +76,7 @@
             }
             // The only known facts about this job are that it was accepted and has not ended.
             StoredJob::Unreadable { .. } => JobState::Queued,
-            StoredJob::Active { record, .. } if record.waits() => {
+            StoredJob::Active { record, .. } if record.is_blocked() => {
                 self.blocked_job_state(id, record.job.tasks).await?
             }
             StoredJob::Active { .. } => {
@@ -114,7 +114,7 @@
             }
             // The job was unblocked or has ended since its record was read.
             Some(Reply::BlockedJobState(None)) => match self.look_up_job(id).await? {
-                StoredJob::Active { record, .. } if !record.waits() => Ok(JobState::Queued),
+                StoredJob::Active { record, .. } if !record.is_blocked() => Ok(JobState::Queued),
                 StoredJob::Final(final_state) => Ok(final_state.state),
                 _ => Err(NotExecutedCause::RecordMoved.into()),
             },
--- a/src/engine/live_records.rs
+++ b/src/engine/live_records.rs
@@ -142,7 +142,7 @@
         if applied.is_some_and(|applied| applied >= version) {
             return;
         }
-        let Some(record) = records::read_job(value) else {
+        let Some(record) = records::decode_job(value) else {
             if self.live.mark_unreadable(key) {
                 let consequence = "the job is left alone";
                 tracing::error!(key, consequence, "unreadable record");
@@ -150,7 +150,7 @@
             return;
         };
         self.live.clear_unreadable(key);
-        if record.waits() {
+        if record.is_blocked() {
             return self.dependencies.insert(id.clone(), record, version);
         }
         self.dependencies.remove(id);
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -1,28 +1,29 @@
-//! The pass that plans a round.
+//! The planner of a round of task starts.
 
 use super::candidate::{Candidate, min_request};
 use super::gang::assign_gang;
 use super::packing::{Assignment, assign_tasks, assigned_tasks};
 use super::quota::QuotaUsage;
 use super::reservation::reserve_for_gang;
-use super::round::{RoundLimits, RoundPlan, TaskStart, Unplaced};
+use super::round::{RoundLimits, RoundPlan, TaskStart, UnplacedTasks};
 use super::snapshot::MachineSnapshot;
 use crate::constants::MAX_UNPLACED_TASKS;
 use crate::model::{JobId, JobSpec};
 use crate::wire::user::JobKind;
 
-/// Plans a round within `limits` for candidates in the order of service. `snapshots` (their order,
-/// too) and `quotas` change to what is left after the round.
+/// Plans a round within `limits` for candidates, which must be sorted in the order of service.
+/// Afterwards, `snapshots` and `quotas` reflect the planned starts, and the snapshots are
+/// reordered.
 pub fn plan_round(
     candidates: &[Candidate<'_>],
     snapshots: &mut Vec<MachineSnapshot>,
     quotas: &mut QuotaUsage,
     limits: RoundLimits,
 ) -> RoundPlan {
-    let open_machines = move_open_machines_first(snapshots, candidates);
+    let machines_with_room = move_machines_with_room_first(snapshots, candidates);
     let mut planner = RoundPlanner {
         snapshots,
-        open_machines,
+        machines_with_room,
         quotas,
         limits,
         jobs_with_starts: 0,
@@ -34,56 +35,58 @@
     planner.plan
 }
 
-/// Moves the machines that have room for the smallest request to the front, and returns their
-/// number. The others, most machines of a busy cluster, need not be looked at for each job.
-fn move_open_machines_first(
+/// Moves the machines that have room for the smallest request to the front and returns their
+/// number. The planner then skips the other machines, most of a busy cluster, for each job.
+fn move_machines_with_room_first(
     snapshots: &mut Vec<MachineSnapshot>,
     candidates: &[Candidate<'_>],
 ) -> usize {
     let Some(min_request) = min_request(candidates) else {
         return 0;
     };
-    let (open, full): (Vec<MachineSnapshot>, Vec<MachineSnapshot>) = std::mem::take(snapshots)
-        .into_iter()
-        .partition(|snapshot| min_request.fits_in(snapshot.available));
-    let count = open.len();
-    snapshots.extend(open);
-    snapshots.extend(full);
+    let (with_room, without_room): (Vec<MachineSnapshot>, Vec<MachineSnapshot>) =
+        std::mem::take(snapshots)
+            .into_iter()
+            .partition(|snapshot| min_request.fits_in(snapshot.available));
+    let count = with_room.len();
+    snapshots.extend(with_room);
+    snapshots.extend(without_room);
     count
 }
 
-/// What a gang came to in a round.
+/// Result of planning the tasks of a gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum GangOutcome {
-    /// All of its tasks start.
+    /// All tasks of the gang start.
     Placed,
-    /// Its team's limit does not allow it.
+    /// The limit of the gang's team does not allow the gang.
     OverQuota,
-    /// The round may not hold as many starts.
+    /// The starts of the gang exceed what the round can still hold.
     RoundFull,
-    /// The machines do not have room for all of its tasks.
+    /// The machines do not have room for all tasks of the gang.
     NoRoom,
 }
 
-/// A round while it is planned.
+/// State of a round while it is being planned.
 struct RoundPlanner<'a> {
-    /// All machines; first those with room when the pass began.
+    /// All machines. Those that had room when the pass began come first.
     snapshots: &'a mut [MachineSnapshot],
-    /// Number of machines with room when the pass began.
-    open_machines: usize,
+    /// Number of machines that had room when the pass began.
+    machines_with_room: usize,
     quotas: &'a mut QuotaUsage,
     limits: RoundLimits,
-    /// Jobs with starts in `plan.starts`.
+    /// Number of jobs that have starts in `plan.starts`.
     jobs_with_starts: usize,
     plan: RoundPlan,
 }
 
 impl RoundPlanner<'_> {
+    /// Plans the tasks of a job, and reserves machines for a starving gang that does not fit.
     fn plan_candidate(&mut self, candidate: &Candidate<'_>) {
         let starts_before = self.plan.starts.len();
         if candidate.job.spec.kind == JobKind::Gang {
             let outcome = self.plan_gang(candidate);
-            if outcome == GangOutcome::NoRoom && candidate.reserves_machines() {
+            if outcome == GangOutcome::NoRoom && candidate.can_reserve_machines() {
                 reserve_for_gang(&candidate.job.spec, self.snapshots);
             }
         } else {
@@ -92,48 +95,51 @@
         self.jobs_with_starts += usize::from(self.plan.starts.len() > starts_before);
     }
 
-    /// Starts that the round may still hold. A full round does not end the pass: the tasks that
-    /// wait for room have to be known for scaling out.
+    /// Returns how many more starts the round may hold. A full round does not end the pass, because
+    /// scaling out requires the number of tasks for which machines have no room.
     fn remaining_starts(&self) -> usize {
-        if self.jobs_with_starts < self.limits.jobs {
-            self.limits.starts.saturating_sub(self.plan.starts.len())
+        if self.jobs_with_starts < self.limits.max_jobs {
+            self.limits
+                .max_starts
+                .saturating_sub(self.plan.starts.len())
         } else {
             0
         }
     }
 
-    /// Starts as many tasks of a job as its team's limit, the round and the machines allow.
+    /// Plans the start of as many tasks of a job as its team's limit, the round and the machines
+    /// allow.
     fn plan_tasks(&mut self, candidate: &Candidate<'_>) {
         let spec = &candidate.job.spec;
         let remaining = self.remaining_starts().min(u32::MAX as usize) as u32;
-        // By how much a huge array exceeds all machines need not be known.
-        let countable = remaining.saturating_add(MAX_UNPLACED_TASKS);
+        // Unplaced tasks are counted up to a maximum, so a very large array is not counted in full.
+        let max_counted = remaining.saturating_add(MAX_UNPLACED_TASKS);
         let pending = candidate.job.pending.len() as u32;
-        let allowed = self
-            .quotas
-            .reserve(&spec.team, spec.request, pending.min(countable));
+        let tasks_within_quota =
+            self.quotas
+                .reserve(&spec.team, spec.request, pending.min(max_counted));
         let assignments = assign_tasks(
             spec,
             &candidate.placed_by_zone,
-            &self.snapshots[..self.open_machines],
-            allowed.min(remaining),
+            &self.snapshots[..self.machines_with_room],
+            tasks_within_quota.min(remaining),
             None,
         );
-        let unplaced = allowed - assigned_tasks(&assignments);
+        let unplaced = tasks_within_quota - assigned_tasks(&assignments);
         let indices = candidate.job.pending.iter();
         let starts = self.allocate(candidate.id, spec, indices, &assignments);
         self.plan.starts.extend(starts);
         if unplaced > 0 {
             let released = spec.request.times(u64::from(unplaced));
             self.quotas.release(&spec.team, released);
-            self.plan.unplaced.push(Unplaced {
+            self.plan.unplaced.push(UnplacedTasks {
                 job: candidate.id.clone(),
                 tasks: unplaced.min(MAX_UNPLACED_TASKS),
             });
         }
     }
 
-    /// Starts all tasks of a gang or none.
+    /// Plans the start of all tasks of a gang, or of none.
     fn plan_gang(&mut self, candidate: &Candidate<'_>) -> GangOutcome {
         let spec = &candidate.job.spec;
         let total_request = spec.total_request();
@@ -141,11 +147,13 @@
             return GangOutcome::OverQuota;
         }
         let fits_in_round = spec.tasks as usize <= self.remaining_starts_for_gang(spec);
-        let open = &self.snapshots[..self.open_machines];
-        let assignments = fits_in_round.then(|| assign_gang(spec, open)).flatten();
+        let with_room = &self.snapshots[..self.machines_with_room];
+        let assignments = fits_in_round
+            .then(|| assign_gang(spec, with_room))
+            .flatten();
         let Some(assignments) = assignments else {
             self.quotas.release(&spec.team, total_request);
-            self.plan.unplaced.push(Unplaced {
+            self.plan.unplaced.push(UnplacedTasks {
                 job: candidate.id.clone(),
                 tasks: spec.tasks,
             });
@@ -164,12 +172,13 @@
         GangOutcome::Placed
     }
 
-    /// Whether one transaction cannot write the gang's starts.
+    /// Reports whether the gang has more starts than one transaction can write.
     fn is_large_gang(&self, spec: &JobSpec) -> bool {
-        spec.tasks as usize > self.limits.starts
+        spec.tasks as usize > self.limits.max_starts
     }
 
-    /// Starts that the round of a gang may still hold; a large gang has a round of its own.
+    /// Returns how many more starts the round of this gang may hold. A large gang is placed in a
+    /// separate round.
     fn remaining_starts_for_gang(&self, spec: &JobSpec) -> usize {
         if !self.is_large_gang(spec) {
             self.remaining_starts()
@@ -180,7 +189,8 @@
         }
     }
 
-    /// Allocates the assigned machines and returns the starts of the job's next tasks on them.
+    /// Allocates the resources of the assignments and returns the starts of the job's tasks on the
+    /// assigned machines. Task numbers are taken from `indices`.
     fn allocate(
         &mut self,
         id: &JobId,
