--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -87,7 +87,7 @@
         (HttpError::NotSent(cause), _) => NotExecutedCause::from(cause).into(),
         // The response exceeds the body limit because too much has changed. Reporting a compacted
         // watch makes the engine list all records again, in pages.
-        (HttpError::TooLong, StoreCall::Watch { .. }) => StoreError::Compacted,
+        (HttpError::ResponseTooLong, StoreCall::Watch { .. }) => StoreError::Compacted,
         (error, _) => UnknownOutcomeCause::from(error).into(),
     }
 }
