--- a/src/api/bodies.rs
+++ b/src/api/bodies.rs
@@ -69,7 +69,7 @@
     pub(super) fn new(bytes: usize) -> Self {
         BodyBudget {
             total: Arc::new(Semaphore::new(bytes)),
-            users: Arc::new(Semaphore::new(bytes / constants::USER_BODY_DIVISOR)),
+            users: Arc::new(Semaphore::new(bytes / constants::USER_BODY_MEMORY_DIVISOR)),
         }
     }
 
--- a/src/api/bodies/tests.rs
+++ b/src/api/bodies/tests.rs
@@ -87,7 +87,7 @@
             }
         }
     }
-    let max_user_bodies = 512 * KIB / constants::USER_BODY_DIVISOR / (64 * KIB);
+    let max_user_bodies = 512 * KIB / constants::USER_BODY_MEMORY_DIVISOR / (64 * KIB);
     assert_eq!(
         (bodies.len(), refused),
         (max_user_bodies, 20 - max_user_bodies)
--- a/src/api/connections.rs
+++ b/src/api/connections.rs
@@ -46,7 +46,7 @@
 
     /// Whether so many are open that none should stay open between requests.
     pub(super) fn is_crowded(&self) -> bool {
-        let spare_connections = self.max_connections / constants::SPARE_CONNECTIONS_DIVISOR;
+        let spare_connections = self.max_connections / constants::RESERVED_CONNECTIONS_DIVISOR;
         self.permits.available_permits() < spare_connections
     }
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -68,7 +68,7 @@
         peers: Arc<Vec<Link>>,
     ) -> Arc<Self> {
         let bodies = BodyBudget::new(settings.body_budget());
-        let announcements = Semaphore::new(constants::MAX_CANCELLATION_NOTICES);
+        let announcements = Semaphore::new(constants::MAX_CANCELLATION_ANNOUNCEMENTS);
         Arc::new(Api {
             settings,
             store,
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -27,7 +27,7 @@
         };
         let record = JobRecord::new(job, unix_time());
         let value = engine::job_value(&record);
-        let record_bytes = engine::json_size(&value) + constants::RECORD_SPARE_BYTES;
+        let record_bytes = engine::json_size(&value) + constants::JOB_RECORD_RESERVED_BYTES;
         if record_bytes > self.settings.max_value_bytes() {
             let error = MalformedSubmission::RecordTooLarge;
             return self.refuse_malformed(body, &error).await;
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -36,7 +36,7 @@
 pub const MAX_PEER_CONNECTIONS: usize = 16;
 /// Cancellations at once that other nodes are told of: a peer that can't be reached takes up
 /// [`PEER_TIMEOUT`] for each, in which nothing else is sent to it.
-pub const MAX_CANCELLATION_NOTICES: usize = 4;
+pub const MAX_CANCELLATION_ANNOUNCEMENTS: usize = 4;
 
 // HTTP server
 
@@ -56,7 +56,7 @@
 /// One in so many sockets is kept for requests in flight, so that users, probes and workers
 /// without an open connection find one: a response takes some ms, at most
 /// [`HEARTBEAT_HOLD_TIMEOUT`].
-pub const SPARE_CONNECTIONS_DIVISOR: usize = 8;
+pub const RESERVED_CONNECTIONS_DIVISOR: usize = 8;
 /// Calls at once to the state service on behalf of users: past it users get 503 at once.
 pub const MAX_USER_CALLS: usize = 64;
 /// How long a user's request may wait for the state service before it is answered 503: below
@@ -73,27 +73,27 @@
 /// from them, three times as large, a fifth of the memory at most.
 pub const BODY_MEMORY_DIVISOR: usize = 16;
 /// One in so many bytes of that is for users: the rest is for heartbeats, which keep tasks alive.
-pub const USER_BODY_DIVISOR: usize = 2;
+pub const USER_BODY_MEMORY_DIVISOR: usize = 2;
 /// Bytes that the process holds at its start, as measured.
 pub const PROCESS_BASE_BYTES: usize = 5_200_000;
 /// Bytes that an open connection holds, [`CONNECTION_BUFFER_BYTES`] included: 11,200 measured.
-pub const CONNECTION_BYTES: usize = 11_500;
+pub const BYTES_PER_CONNECTION: usize = 11_500;
 /// Bytes that a machine holds with its snapshot, eight tasks and their part of jobs and rounds, beside
 /// its connection: 10,000 measured at 1,000 machines.
-pub const MACHINE_BYTES: usize = 10_500;
+pub const BYTES_PER_MACHINE: usize = 10_500;
 /// Bytes that a cached final state holds.
-pub const FINAL_STATE_BYTES: usize = 250;
+pub const BYTES_PER_FINAL_STATE: usize = 250;
 /// How many times its encoded size a request's body takes with what is decoded from it: a task of 45
 /// bytes in a heartbeat becomes 90.
-pub const BODY_DECODED_FACTOR: usize = 3;
+pub const DECODED_BODY_MEMORY_FACTOR: usize = 3;
 /// The same of a response of the state service: a record's value becomes a tree with a node for each
 /// key and each value.
-pub const RESPONSE_DECODED_FACTOR: usize = 7;
+pub const DECODED_RESPONSE_MEMORY_FACTOR: usize = 7;
 /// Large responses that are decoded at once: a watch's, and a page of a list. Users' are a record
 /// each.
-pub const MAX_LARGE_RESPONSES: usize = 2;
+pub const MAX_CONCURRENT_LARGE_RESPONSES: usize = 2;
 /// Bytes of such a response: a page of lists, by the protocol.
-pub const USUAL_MAX_RESPONSE_BYTES: usize = 512 * 1024;
+pub const MAX_LIST_PAGE_BYTES: usize = 512 * 1024;
 
 // Machine limits in the settings
 
@@ -114,7 +114,7 @@
 // HTTP client
 
 /// Characters of an unexpected response's body that its error shows.
-pub const MAX_SHOWN_CHARACTERS: usize = 100;
+pub const MAX_ERROR_BODY_CHARS: usize = 100;
 /// Bytes of a response of the state service or cloud: lists reach 512 KiB. A watch has no stated limit:
 /// what changed is read again in pages if it is more. Decoded it takes several times as much memory.
 pub const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
@@ -148,7 +148,7 @@
 pub const MIN_TOKEN_WAIT_S: f64 = 0.001;
 /// Share of the state service's published rates that one node allows itself: the leader does
 /// most of the work, and three nodes share the limits.
-pub const RATE_SHARE: f64 = 0.6;
+pub const STORE_RATE_SHARE: f64 = 0.6;
 /// Seconds' worth of calls that the cloud accepts at once, by the protocol.
 pub const CLOUD_BURST_S: f64 = 2.0;
 /// Beside that, share of the changes a second that each node keeps for its users: where few changes a
@@ -185,7 +185,7 @@
 pub const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1000);
 /// A node that has not learnt the machine types for this long after its start serves users'
 /// questions without them: usually the first call tells, and until then others serve better.
-pub const MACHINE_TYPES_PATIENCE: Duration = Duration::from_millis(10_000);
+pub const MACHINE_TYPES_READY_TIMEOUT: Duration = Duration::from_millis(10_000);
 /// Between reading the machine types again (spot prices move).
 pub const MACHINE_TYPES_INTERVAL: Duration = Duration::from_millis(60_000);
 
@@ -198,7 +198,7 @@
 pub const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
 /// A leader that has stepped down because it could not hear the workers does not campaign again for
 /// this long, so that another node does.
-pub const CAMPAIGN_PAUSE_AFTER_HANDOVER: Duration = Duration::from_millis(15_000);
+pub const CAMPAIGN_PAUSE_AFTER_STEP_DOWN: Duration = Duration::from_millis(15_000);
 /// After an election, besides two heartbeats: a worker gives up on its old node after 4 s and needs a
 /// second to find the new leader.
 pub const ELECTION_SETTLE_TIME: Duration = Duration::from_millis(5_000);
@@ -214,7 +214,7 @@
 /// the process's memory.
 pub const STORE_LIST_PAGE_ITEMS: u64 = 200;
 /// Bytes of a job's record kept free when it is accepted: later ones tell when it could begin.
-pub const RECORD_SPARE_BYTES: usize = 64;
+pub const JOB_RECORD_RESERVED_BYTES: usize = 64;
 /// Tasks a progress record covers: as hexadecimal text 1 KiB, half of the least value limit that the
 /// settings may give.
 pub const PROGRESS_RECORD_TASKS: u32 = 4096;
@@ -223,9 +223,9 @@
 pub const LEGACY_PROGRESS_RECORD_TASKS: u32 = 8192;
 /// Between two writes of partial progress of arrays and removals of records, at least; ends of jobs do
 /// not wait.
-pub const PROGRESS_WRITE_INTERVAL: Duration = Duration::from_millis(500);
+pub const MIN_PROGRESS_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 /// Where few changes a second are allowed, that interval is the time in which so many are.
-pub const PROGRESS_WRITE_INTERVAL_CHANGES: f64 = 30.0;
+pub const CHANGES_PER_PROGRESS_WRITE: f64 = 30.0;
 
 // Dependencies
 
@@ -233,9 +233,9 @@
 pub const MAX_FINAL_RECORD_READS: usize = 8;
 /// Between two reads of the newest changes on behalf of users who ask about blocked jobs: one serves
 /// all that asked before it.
-pub const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
+pub const BLOCKED_JOB_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 /// How long such a question waits in the engine: below [`USER_TIMEOUT`].
-pub const MAX_QUERY_AGE: Duration = Duration::from_millis(1_200);
+pub const BLOCKED_JOB_QUERY_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 // Scheduling
 
@@ -257,7 +257,7 @@
 pub const ORPHANED_ROUND_SEARCH_DELAY: Duration = Duration::from_millis(60_000);
 /// A job whose record was found changed when its round was written is left out of rounds for this
 /// long: the watch usually tells of the change within some ms, and at most a second later.
-pub const CHANGED_JOB_PAUSE: Duration = Duration::from_millis(500);
+pub const CHANGED_JOB_BACKOFF: Duration = Duration::from_millis(500);
 /// Tasks on one machine at most: a heartbeat takes up to 64 KiB and names each task in some 85 bytes,
 /// those that have exited and wait to be forgotten as well, for which half of it is left.
 pub const MAX_TASKS_PER_MACHINE: u32 = 384;
@@ -268,7 +268,7 @@
 /// for a gang: with the time that running work takes to end it begins within four minutes, which the
 /// users ask for. Much shorter, and every burst would be served in order of arrival instead of by
 /// priority.
-pub const STARVATION_AFTER: Duration = Duration::from_millis(90_000);
+pub const STARVATION_THRESHOLD: Duration = Duration::from_millis(90_000);
 /// From this many failures in a row on a job does not count as starving: it would go first, and
 /// reserve resources, only to fail again.
 pub const STARVATION_MAX_FAILURES: u32 = 3;
@@ -282,7 +282,7 @@
 pub const PREEMPTION_DELAY: Duration = Duration::from_millis(3_000);
 /// And this long before more are preempted for it: stopping with a checkpoint, reporting it and
 /// starting take several seconds.
-pub const PREEMPTION_PAUSE: Duration = Duration::from_millis(15_000);
+pub const PREEMPTION_COOLDOWN: Duration = Duration::from_millis(15_000);
 /// Jobs for which victims are searched in vain in one pass; they are searched for again after
 /// [`PREEMPTION_DELAY`], so that the next ones get their turn.
 pub const MAX_PREEMPTION_SEARCHES: usize = 8;
@@ -318,7 +318,7 @@
 pub const MAX_START_RESENDS: u32 = 3;
 /// A machine on which tasks of this many jobs failed, with no completion between, is
 /// quarantined: one job alone may be at fault itself.
-pub const QUARANTINE_AFTER_JOBS: usize = 2;
+pub const QUARANTINE_FAILED_JOBS: usize = 2;
 /// After a task's failure its job waits this long before its next start, doubling with each failure in
 /// a row: a job submitted with a mistake fails everywhere and must not use up the fleet.
 pub const TASK_FAILURE_INITIAL_BACKOFF: Duration = Duration::from_millis(1_000);
--- a/src/engine/autoscaling/housekeeping.rs
+++ b/src/engine/autoscaling/housekeeping.rs
@@ -49,7 +49,7 @@
         self.record_cut_off_zones();
         if self.has_lost_contact_with_workers() {
             self.step_down(StepDownReason::WorkersUnreachable);
-            let until = now + constants::CAMPAIGN_PAUSE_AFTER_HANDOVER;
+            let until = now + constants::CAMPAIGN_PAUSE_AFTER_STEP_DOWN;
             return self.leadership.postpone_campaign(until);
         }
         let inspection = self.inspect_machines();
--- a/src/engine/autoscaling/preemption.rs
+++ b/src/engine/autoscaling/preemption.rs
@@ -97,7 +97,7 @@
         tracing::info!(%job, victims = victims.len(), "preempting tasks");
         if let Some(leader) = self.leadership.leader_mut() {
             let pauses = &mut leader.autoscaling.preemption_pauses;
-            pauses.insert(job, now + constants::PREEMPTION_PAUSE);
+            pauses.insert(job, now + constants::PREEMPTION_COOLDOWN);
         }
         for task in victims {
             self.stop_task(&task);
--- a/src/engine/blocked_job_queries.rs
+++ b/src/engine/blocked_job_queries.rs
@@ -59,7 +59,7 @@
     /// A refresh is begun.
     pub(super) fn begin_refresh(&mut self, now: Timestamp) {
         self.refresh_in_flight = true;
-        self.next_refresh_at = now + constants::REFRESH_INTERVAL;
+        self.next_refresh_at = now + constants::BLOCKED_JOB_REFRESH_INTERVAL;
     }
 
     /// The refresh in flight has ended.
@@ -105,7 +105,7 @@
     fn is_given_up(&self, give_up: GiveUp, now: Timestamp) -> bool {
         match give_up {
             GiveUp::Never => false,
-            GiveUp::Expired => now > self.asked_at + constants::MAX_QUERY_AGE,
+            GiveUp::Expired => now > self.asked_at + constants::BLOCKED_JOB_QUERY_TIMEOUT,
             GiveUp::Always => true,
         }
     }
--- a/src/engine/blocked_job_queries/tests.rs
+++ b/src/engine/blocked_job_queries/tests.rs
@@ -16,14 +16,14 @@
     let replies = queries.take_replies(QUEUED, GiveUp::Never, instant(2));
     assert_eq!(replies, [(1, Reply::BlockedJobState(None))]);
     assert!(!queries.needs_refresh(instant(2)), "refreshes are spaced");
-    assert!(queries.needs_refresh(instant(0) + constants::REFRESH_INTERVAL));
+    assert!(queries.needs_refresh(instant(0) + constants::BLOCKED_JOB_REFRESH_INTERVAL));
 }
 
 #[test]
 fn questions_that_can_not_be_answered_are_given_up() {
     let mut queries = BlockedJobQueries::default();
     assert!(queries.add("run-1".into(), 1, instant(0)));
-    let just_in_time = instant(0) + constants::MAX_QUERY_AGE;
+    let just_in_time = instant(0) + constants::BLOCKED_JOB_QUERY_TIMEOUT;
     assert!(
         queries
             .take_replies(QUEUED, GiveUp::Expired, just_in_time)
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -225,8 +225,8 @@
 
 /// Time between two writes of progress and removals, where so many changes a second are allowed.
 fn progress_interval(changes_per_second: f64) -> Duration {
-    let millis = (1000.0 * constants::PROGRESS_WRITE_INTERVAL_CHANGES / changes_per_second) as u64;
-    constants::PROGRESS_WRITE_INTERVAL.max(Duration::from_millis(millis))
+    let millis = (1000.0 * constants::CHANGES_PER_PROGRESS_WRITE / changes_per_second) as u64;
+    constants::MIN_PROGRESS_WRITE_INTERVAL.max(Duration::from_millis(millis))
 }
 
 /// Adds a job's end to a transaction, if it has come to one.
--- a/src/engine/heartbeats/failures.rs
+++ b/src/engine/heartbeats/failures.rs
@@ -17,7 +17,7 @@
         let leader = self.leadership.leader_mut();
         if let Some(machine) = leader.and_then(|leader| leader.machines.get_mut(machine)) {
             machine.failed_jobs.insert(id.clone());
-            if machine.failed_jobs.len() >= constants::QUARANTINE_AFTER_JOBS {
+            if machine.failed_jobs.len() >= constants::QUARANTINE_FAILED_JOBS {
                 quarantine(machine);
             }
         }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -140,7 +140,8 @@
         let now = self.context.now();
         // Queries need no machine types, only submissions do. The node therefore becomes ready
         // without them after a timeout.
-        let machine_types_deadline = context::process_start() + constants::MACHINE_TYPES_PATIENCE;
+        let machine_types_deadline =
+            context::process_start() + constants::MACHINE_TYPES_READY_TIMEOUT;
         let machine_types_settled = self.machine_types.is_known() || now > machine_types_deadline;
         // A node is not ready if it has lost the state service while a peer still reaches the
         // service, or while it reaches no peer either: another node may be able to serve users.
--- a/src/engine/rounds/writing.rs
+++ b/src/engine/rounds/writing.rs
@@ -196,7 +196,7 @@
 
     /// Until the watch tells how the jobs have changed, others must not fail with them again.
     fn pause_changed_jobs(&mut self, changed_keys: &[String]) {
-        let until = self.context.now() + constants::CHANGED_JOB_PAUSE;
+        let until = self.context.now() + constants::CHANGED_JOB_BACKOFF;
         let ids = changed_keys.iter();
         for id in ids.filter_map(|key| key.strip_prefix(JOB_PREFIX)) {
             if let Some(job) = self.jobs.get_mut(&id.into()) {
--- a/src/engine/tests/dependencies/blocked_jobs.rs
+++ b/src/engine/tests/dependencies/blocked_jobs.rs
@@ -4,7 +4,7 @@
 use super::super::support::{
     JobChanges, assert_completes, cluster_with, dependent_job, lasting_job, short_job,
 };
-use crate::constants::STARVATION_AFTER;
+use crate::constants::STARVATION_THRESHOLD;
 use crate::model::{Job, JobId, JobPhase, JobSpec, Timestamp, UnixTime};
 use crate::wire::user::{JobKind, Priority};
 use std::time::Duration;
@@ -75,7 +75,7 @@
         JobPhase::Open,
         Timestamp::default(),
     );
-    let late = UnixTime::from_millis(1_000).saturating_add(2 * STARVATION_AFTER);
+    let late = UnixTime::from_millis(1_000).saturating_add(2 * STARVATION_THRESHOLD);
     assert!(job.is_starving(late));
     job.ready_at = UnixTime::from_millis(late.as_millis() - 1_000);
     assert!(!job.is_starving(late));
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -3,7 +3,7 @@
 use super::{
     JobSpec, MachineId, Placement, PlacementStage, Resources, TaskSet, Timestamp, UnixTime,
 };
-use crate::constants::{STARVATION_AFTER, STARVATION_MAX_FAILURES};
+use crate::constants::{STARVATION_MAX_FAILURES, STARVATION_THRESHOLD};
 use crate::wire::user::{JobKind, Priority};
 use crate::wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -142,7 +142,7 @@
         self.placements.is_empty()
             && self.completed.is_empty()
             && self.consecutive_failures < STARVATION_MAX_FAILURES
-            && now.saturating_since(self.ready_at) > STARVATION_AFTER
+            && now.saturating_since(self.ready_at) > STARVATION_THRESHOLD
     }
 
     /// Whether it runs or waits.
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -68,7 +68,7 @@
         let http = HttpClient::default();
         let store = Arc::new(StoreClient::new(http.clone(), &settings));
         let cloud = Arc::new(CloudClient::new(http, &settings));
-        let (commands, queue) = CommandSender::new(settings.front_connections());
+        let (commands, queue) = CommandSender::new(settings.max_front_connections());
         let (status_sender, status) = watch::channel(EngineStatus::default());
         let peers = Arc::new(peer_links(&settings));
         let seed = rand::random();
@@ -90,8 +90,8 @@
         tasks.spawn(endpoint.serve(back));
 
         let connections = Connections::new(
-            settings.front_connections(),
-            settings.timing().max_connection_pause(),
+            settings.max_front_connections(),
+            settings.timing().max_connection_idle_time(),
         );
         let api = Api::new(settings, store, commands, status, peers);
         let router = api.router(connections.clone());
--- a/src/settings/capacity.rs
+++ b/src/settings/capacity.rs
@@ -28,12 +28,12 @@
     pub(super) fn new(settings: &Settings) -> Self {
         MemoryRequirement {
             process: constants::PROCESS_BASE_BYTES,
-            connections: settings.front_connections() * constants::CONNECTION_BYTES,
-            request_bodies: settings.body_budget() * constants::BODY_DECODED_FACTOR,
-            responses: constants::MAX_LARGE_RESPONSES
-                * constants::USUAL_MAX_RESPONSE_BYTES
-                * constants::RESPONSE_DECODED_FACTOR,
-            caches: constants::FINAL_STATE_CACHE_ENTRIES * constants::FINAL_STATE_BYTES,
+            connections: settings.max_front_connections() * constants::BYTES_PER_CONNECTION,
+            request_bodies: settings.body_budget() * constants::DECODED_BODY_MEMORY_FACTOR,
+            responses: constants::MAX_CONCURRENT_LARGE_RESPONSES
+                * constants::MAX_LIST_PAGE_BYTES
+                * constants::DECODED_RESPONSE_MEMORY_FACTOR,
+            caches: constants::FINAL_STATE_CACHE_ENTRIES * constants::BYTES_PER_FINAL_STATE,
         }
     }
 
@@ -52,7 +52,7 @@
     /// How many machines, with their tasks and jobs, the rest of the memory is enough for.
     pub(super) fn max_machines_in_memory(&self) -> usize {
         let required = MemoryRequirement::new(self).total();
-        self.memory_bytes().saturating_sub(required) / constants::MACHINE_BYTES
+        self.memory_bytes().saturating_sub(required) / constants::BYTES_PER_MACHINE
     }
 
     /// What operators should know of settings that are allowed, but ask for more than was measured
@@ -69,9 +69,9 @@
     fn memory_warning(&self) -> Option<SettingsWarning> {
         let limits = &self.cluster.machine_limits;
         let min_bytes = MemoryRequirement::new(self).total()
-            + constants::MIN_EXPECTED_MACHINES * constants::MACHINE_BYTES;
+            + constants::MIN_EXPECTED_MACHINES * constants::BYTES_PER_MACHINE;
         let min_mb = (min_bytes as f64 / BYTES_PER_MB).ceil();
-        (limits.mem_mb < min_mb).then_some(SettingsWarning::LittleMemory {
+        (limits.mem_mb < min_mb).then_some(SettingsWarning::LowMemory {
             mem_mb: limits.mem_mb,
             max_connections: limits.max_connections,
             min_mb,
@@ -81,7 +81,7 @@
     fn cpu_warning(&self) -> Option<SettingsWarning> {
         let cpu_share = self.cluster.machine_limits.cpu_share?;
         (cpu_share < constants::MIN_MEASURED_CPU_SHARE)
-            .then_some(SettingsWarning::LittleCpu { cpu_share })
+            .then_some(SettingsWarning::LowCpuShare { cpu_share })
     }
 
     /// Whether the teams' limits allow more machines than the memory may be enough for. How many
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -137,7 +137,7 @@
 
     /// Connections accepted on `front` at once: what the machine allows, less those that the node
     /// opens itself, but at least half, since it rarely has all of its own open.
-    pub fn front_connections(&self) -> usize {
+    pub fn max_front_connections(&self) -> usize {
         let max_connections = self.cluster.machine_limits.max_connections;
         let remaining = max_connections.saturating_sub(OWN_CONNECTIONS);
         remaining.max(max_connections / 2)
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -90,7 +90,11 @@
 
 #[test]
 fn front_connections_follow_from_the_machine_limits() {
-    let front = |text: &str| Settings::parse(text, "s.toml").unwrap().front_connections();
+    let front = |text: &str| {
+        Settings::parse(text, "s.toml")
+            .unwrap()
+            .max_front_connections()
+    };
     assert_eq!(front(SAMPLE), 1817 - OWN_CONNECTIONS);
     let larger = SAMPLE.replace("= 1817", "= 12000");
     assert_eq!(front(&larger), 12_000 - OWN_CONNECTIONS);
--- a/src/settings/timing.rs
+++ b/src/settings/timing.rs
@@ -26,7 +26,7 @@
 impl Timing {
     /// No caller leaves an open connection unused for longer: workers send heartbeats more often,
     /// users ask about every 5 s.
-    pub fn max_connection_pause(&self) -> Duration {
+    pub fn max_connection_idle_time(&self) -> Duration {
         2 * self.heartbeat_deadline
     }
 
--- a/src/settings/warning.rs
+++ b/src/settings/warning.rs
@@ -10,7 +10,7 @@
         "cluster.machine_limits.mem_mb: {mem_mb} given; {max_connections} connections and {} machines may take {min_mb}",
         constants::MIN_EXPECTED_MACHINES
     )]
-    LittleMemory {
+    LowMemory {
         /// Memory of the process, MB.
         mem_mb: f64,
         /// Sockets at once.
@@ -23,7 +23,7 @@
         "cluster.machine_limits.cpu_share: {cpu_share} given; less than {} was not measured",
         constants::MIN_MEASURED_CPU_SHARE
     )]
-    LittleCpu {
+    LowCpuShare {
         /// Share of a processor core.
         cpu_share: f64,
     },
--- a/src/store/limits.rs
+++ b/src/store/limits.rs
@@ -19,15 +19,15 @@
     pub(super) fn new(settings: &Settings) -> Self {
         let service = &settings.cluster.state;
         // A transaction of the largest size must fit into the bucket.
-        let largest_transaction = service.txn_ops as f64 / constants::RATE_SHARE;
+        let largest_transaction = service.txn_ops as f64 / constants::STORE_RATE_SHARE;
         let mutation_rate = service.write_rps.max(largest_transaction);
         CallLimits {
             calls: RateLimiter::new(
-                service.rps * constants::RATE_SHARE,
+                service.rps * constants::STORE_RATE_SHARE,
                 constants::STORE_BURST_S,
             ),
             mutations: RateLimiter::new(
-                mutation_rate * constants::RATE_SHARE,
+                mutation_rate * constants::STORE_RATE_SHARE,
                 constants::STORE_BURST_S,
             ),
             user_mutations: RateLimiter::new(
--- a/src/store/response.rs
+++ b/src/store/response.rs
@@ -71,7 +71,7 @@
 fn unexpected(response: &HttpResponse) -> StoreError {
     let status = response.status;
     let text = String::from_utf8_lossy(&response.body);
-    let text: String = text.chars().take(constants::MAX_SHOWN_CHARACTERS).collect();
+    let text: String = text.chars().take(constants::MAX_ERROR_BODY_CHARS).collect();
     MalformedCause::Status { status, text }.into()
 }
 
--- a/src/store/response/tests.rs
+++ b/src/store/response/tests.rs
@@ -56,7 +56,7 @@
     let unreadable = read(&get(), &response(200, vec![0])).unwrap_err();
     assert!(matches!(unreadable, StoreError::Unknown(_)));
     let malformed = read(&get(), &response(400, vec![b'x'; 200])).unwrap_err();
-    let shown = "x".repeat(constants::MAX_SHOWN_CHARACTERS);
+    let shown = "x".repeat(constants::MAX_ERROR_BODY_CHARS);
     assert_eq!(
         malformed.to_string(),
         format!("bad request or answer: status 400: {shown}")
