--- a/src/constants.rs
+++ b/src/constants.rs
@@ -1,373 +1,421 @@
-//! Every constant of the service, grouped by the part that uses it, with its unit and the reason for
-//! its value.
+//! Constants of the service, grouped by the part that uses them, with their units and the reasons
+//! for their values.
 //!
-//! What depends on a deployment is not here: it is derived from the settings, in
+//! Values that depend on the deployment are derived from the settings; see
 //! [`crate::settings::Timing`].
 
 use std::time::Duration;
 
 // Fleet size
 
-/// Machines that the bounds on caches and queues are made for: twice the largest fleet that the
-/// service is known to run. None is refused for their number; each bound says what is lost beyond it.
+/// Number of machines that caches and queues are sized for: twice the largest fleet that the
+/// service is known to run. Larger fleets are not refused; each bound that is derived from this
+/// number says what is lost beyond it.
 pub const MAX_EXPECTED_MACHINES: usize = 8_000;
-/// Machines that the memory given in the settings should carry; operators are warned below that.
+/// Number of machines that the memory limit in the settings should be able to hold. Operators are
+/// warned if it holds fewer.
 pub const MIN_EXPECTED_MACHINES: usize = 100;
 
 // Peers
 
-/// A connection on which a peer has sent nothing for this long is closed: the peer has missed
-/// several announcements and is gone or unreachable.
+/// Time without any frame from a peer after which its connection is closed: the peer has missed
+/// several announcements and is down or unreachable.
 pub const PEER_IDLE_TIMEOUT: Duration = PEER_ANNOUNCE_INTERVAL.saturating_mul(10);
-/// Version of the frames between controller nodes. Raised when their layout changes; a peer of
-/// another version is disconnected.
+/// Version of the frame format between controller nodes. It must be raised when the layout changes;
+/// a peer with another version is disconnected.
 pub const PEER_VERSION: u8 = 1;
-/// Bytes of one peer frame: an announcement takes a few dozen; the rest is room to grow.
+/// Maximum size of a peer frame, in bytes. An announcement takes a few dozen bytes; the rest is
+/// reserved for later extensions.
 pub const MAX_PEER_FRAME_BYTES: usize = 4096;
-/// Between two announcements to the same peer: well below any lease, so that a superseded leader
-/// steps down within a second or so, and cheap (two small frames a second).
+/// Time between two announcements to the same peer. It is well below any lease, so that a
+/// superseded leader steps down within about a second, and costs only two small frames per second.
 pub const PEER_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1000);
-/// A peer not heard of for this long counts as unreachable: three announcements.
+/// Time without an announcement after which a peer counts as unreachable: three announcements.
 pub const PEER_SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
-/// For connecting to a peer or exchanging one frame: peers are at most a few ms apart; an
-/// unreachable one is tried again at the next announcement.
+/// Timeout for connecting to a peer and for exchanging one frame. Peers are at most a few
+/// milliseconds apart; an unreachable peer is retried at the next announcement.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Inbound peer connections at once: two peers, with room for ones not yet noticed as dead.
+/// Maximum number of concurrent inbound peer connections: one for each of the two peers, and room
+/// for dead connections that have not been detected yet.
 pub const MAX_PEER_CONNECTIONS: usize = 16;
-/// Cancellations at once that other nodes are told of: a peer that can't be reached takes up
-/// [`PEER_TIMEOUT`] for each, in which nothing else is sent to it.
+/// Maximum number of cancellations that are announced to the other nodes concurrently. An
+/// unreachable peer blocks each of them for [`PEER_TIMEOUT`], during which nothing else is sent to
+/// that peer.
 pub const MAX_CANCELLATION_ANNOUNCEMENTS: usize = 4;
 
 // HTTP server
 
-/// Most characters of the reason in a refusal.
+/// Maximum length of the reason in a refusal, in characters.
 pub const MAX_REASON_CHARS: usize = 200;
-/// How often a cancellation is attempted when the job's record changes between read and write.
+/// Maximum number of attempts to cancel a job whose record changes between read and write.
 pub const MAX_CANCELLATION_ATTEMPTS: usize = 3;
-/// Bytes of a request or response body, by the protocol.
+/// Maximum size of a request or response body, in bytes, as defined by the protocol.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Bytes that are read of a longer body before its sender is cut off.
+/// Number of bytes that are read of an oversized body before the connection to its sender is
+/// closed.
 pub const MAX_BODY_BYTES_READ: usize = 4 * MAX_BODY_BYTES;
-/// How long a request's body may take to arrive: a user gives up after 5 s, a worker after 4.
+/// Timeout for receiving the body of a request. Users give up after 5 s, workers after 4 s.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes that one connection buffers of what it reads, the least that the HTTP library allows: the
-/// head of a request has to fit, longer bodies come in pieces.
+/// Size of the read buffer of a connection, in bytes: the minimum that the HTTP library allows. The
+/// head of a request must fit into the buffer; longer bodies are read in pieces.
 pub const CONNECTION_BUFFER_BYTES: usize = 8 * 1024;
-/// One in so many sockets is kept for requests in flight, so that users, probes and workers
-/// without an open connection find one: a response takes some ms, at most
-/// [`HEARTBEAT_HOLD_TIMEOUT`].
+/// One in this many connections is reserved for requests in flight, so that users, probes and
+/// workers without an open connection can connect. If fewer are free, connections are closed after
+/// their response, which takes some milliseconds and at most [`HEARTBEAT_HOLD_TIMEOUT`].
 pub const RESERVED_CONNECTIONS_DIVISOR: usize = 8;
-/// Calls at once to the state service on behalf of users: past it users get 503 at once.
+/// Maximum number of concurrent calls to the state service on behalf of users. Further requests are
+/// answered with 503 at once.
 pub const MAX_USER_CALLS: usize = 64;
-/// How long a user's request may wait for the state service before it is answered 503: below
-/// the 2 s that a polling user waits.
+/// Time after which a user's request that waits for the state service is answered with 503: less
+/// than the 2 s for which a polling user waits.
 pub const USER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// What a user is told to wait after a 503, s.
+/// Value of the `Retry-After` header of a 503 response, in seconds.
 pub const RETRY_AFTER_S: u64 = 1;
-/// Final job states cached by a node, so that repeated polls need no read.
+/// Maximum number of final job states that a node caches, so that repeated polls need no read.
 pub const FINAL_STATE_CACHE_ENTRIES: usize = 2000;
 
 // Memory
 
-/// One in so many bytes of a machine's memory is for bodies of requests at once: with what is decoded
-/// from them, three times as large, a fifth of the memory at most.
+/// One in this many bytes of the memory limit is available for request bodies at any time. Together
+/// with the decoded values, which take three times as much, bodies use at most a fifth of the
+/// memory.
 pub const BODY_MEMORY_DIVISOR: usize = 16;
-/// One in so many bytes of that is for users: the rest is for heartbeats, which keep tasks alive.
+/// One in this many bytes of the memory for request bodies is available for users. The rest is
+/// reserved for heartbeats, without which workers stop their tasks.
 pub const USER_BODY_MEMORY_DIVISOR: usize = 2;
-/// Bytes that the process holds at its start, as measured.
+/// Memory of the process after its start, in bytes.
 pub const PROCESS_BASE_BYTES: usize = 5_200_000;
-/// Bytes that an open connection holds, [`CONNECTION_BUFFER_BYTES`] included: 11,200 measured.
+/// Memory of an open connection, including [`CONNECTION_BUFFER_BYTES`], in bytes: 11,200 bytes and
+/// a margin.
 pub const BYTES_PER_CONNECTION: usize = 11_500;
-/// Bytes that a machine holds with its snapshot, eight tasks and their part of jobs and rounds, beside
-/// its connection: 10,000 measured at 1,000 machines.
+/// Memory of a machine with its snapshot, eight tasks and their share of jobs and rounds, without
+/// its connection, in bytes: 10,000 bytes, as with 1,000 machines, and a margin.
 pub const BYTES_PER_MACHINE: usize = 10_500;
-/// Bytes that a cached final state holds.
+/// Memory of a cached final job state, in bytes.
 pub const BYTES_PER_FINAL_STATE: usize = 250;
-/// How many times its encoded size a request's body takes with what is decoded from it: a task of 45
-/// bytes in a heartbeat becomes 90.
+/// Memory of a request body and its decoded value, as a multiple of the body's encoded size: a task
+/// that takes 45 bytes in a heartbeat takes 90 bytes when decoded.
 pub const DECODED_BODY_MEMORY_FACTOR: usize = 3;
-/// The same of a response of the state service: a record's value becomes a tree with a node for each
-/// key and each value.
+/// Memory of a response of the state service and its decoded value, as a multiple of the encoded
+/// size. The value of a record is decoded into a tree with a node for each key and each value.
 pub const DECODED_RESPONSE_MEMORY_FACTOR: usize = 7;
-/// Large responses that are decoded at once: a watch's, and a page of a list. Users' are a record
-/// each.
+/// Maximum number of large responses that are decoded concurrently: one of a watch and one page of
+/// a list. Responses to users' reads contain one record each.
 pub const MAX_CONCURRENT_LARGE_RESPONSES: usize = 2;
-/// Bytes of such a response: a page of lists, by the protocol.
+/// Maximum size of a page of a list, in bytes, as defined by the protocol. The memory for large
+/// responses is calculated with this size.
 pub const MAX_LIST_PAGE_BYTES: usize = 512 * 1024;
 
 // Machine limits in the settings
 
-/// The least share of a core that the service was measured with, at 692 machines.
+/// Smallest share of a core with which the service has been measured, at 692 machines. Operators
+/// are warned if the settings give less.
 pub const MIN_MEASURED_CPU_SHARE: f64 = 0.019;
-/// Memory of a machine if the settings do not say, MB: enough for [`DEFAULT_CONNECTIONS`].
+/// Memory limit of a node if the settings give none, in MB: enough for [`DEFAULT_CONNECTIONS`].
 pub const DEFAULT_MEMORY_MB: f64 = 64.0;
-/// Memory without which a node can't work, MB: its start alone takes five.
+/// Minimum memory limit of a node, in MB. The process takes 5 MB after its start.
 pub const MIN_MEMORY_MB: f64 = 16.0;
-/// Sockets a machine allows if the settings do not say: a common limit of open files.
+/// Maximum number of open sockets if the settings give none: a common limit for open files.
 pub const DEFAULT_CONNECTIONS: usize = 1000;
-/// Sockets without which a node can't work: users, probes, workers and its own calls need some.
+/// Minimum for the limit on open sockets: users, probes, workers and the node's own calls each need
+/// some.
 pub const MIN_CONNECTIONS: usize = 64;
-/// Least time, s, between a worker's lease and the time allowed for a cancellation: the grace
-/// in which a leader without news still responds to heartbeats must span a few renewals and watches.
+/// Minimum difference between the time allowed for a cancellation and a worker's lease, in seconds.
+/// The grace period, in which a leader that receives no changes still responds to heartbeats, must
+/// span a few lease renewals and watches.
 pub const MIN_CANCEL_SLACK_S: f64 = 3.0;
 
 // HTTP client
 
-/// Characters of an unexpected response's body that its error shows.
+/// Maximum number of characters of an unexpected response's body that are shown in the error.
 pub const MAX_ERROR_BODY_CHARS: usize = 100;
-/// Bytes of a response of the state service or cloud: lists reach 512 KiB. A watch has no stated limit:
-/// what changed is read again in pages if it is more. Decoded it takes several times as much memory.
+/// Maximum size of a response of the state service or the cloud, in bytes. Lists reach 512 KiB. The
+/// protocol does not limit watch responses; if a response is larger than this, the changes are read
+/// again in pages. A decoded response takes several times as much memory.
 pub const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
-/// To set up a connection.
+/// Timeout for establishing a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Idle connections kept to one address: enough to avoid set-up cost, few enough for the limit on
-/// sockets.
+/// Maximum number of idle connections per address: enough to avoid the cost of new connections, and
+/// few enough for the limit on open sockets.
 pub const MAX_IDLE_CONNECTIONS: usize = 8;
-/// How long an idle connection is kept.
+/// Time after which an idle connection is closed.
 pub const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
-/// Deadline of one call to the state service: responses take 10 ms, at times a few hundred.
+/// Timeout of a call to the state service. Responses usually take 10 ms and occasionally a few
+/// hundred.
 pub const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Deadline of a watch beyond its own waiting time.
+/// Time that is added to the waiting time of a watch to get the timeout of its call.
 pub const WATCH_SLACK: Duration = Duration::from_millis(2000);
-/// Deadline of one call to the cloud.
+/// Timeout of a call to the cloud.
 pub const CLOUD_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Deadline of commands sent directly to a worker.
+/// Timeout of commands that are sent directly to a worker.
 pub const WORKER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Direct calls to workers at once: a hung machine takes up [`CONNECT_TIMEOUT`], and when a rack
-/// hangs, the stops of its gangs' other tasks must go out within some seconds.
+/// Maximum number of concurrent direct calls to workers. A machine that hangs blocks a call for
+/// [`CONNECT_TIMEOUT`]; when a whole rack hangs, the stop commands for the other tasks of its gangs
+/// must still be sent within a few seconds.
 pub const MAX_WORKER_CALLS: usize = 96;
-/// Direct calls to workers that wait, of stops and of other calls each: two for each machine. Beyond
-/// that the oldest stay and new ones are dropped; stops go with the responses to heartbeats as well.
+/// Maximum number of queued direct calls to workers, for stop commands and for other calls
+/// separately: two per machine. When a queue is full, new calls are dropped; stop commands are also
+/// sent with the responses to heartbeats.
 pub const MAX_QUEUED_WORKER_CALLS: usize = 2 * MAX_EXPECTED_MACHINES;
 
 // Rate limits
 
-/// Seconds' worth of calls, and of mutations, that may be made at once.
+/// Burst size of the rate limits for calls to the state service and for mutations, in seconds of
+/// the sustained rate.
 pub const STORE_BURST_S: f64 = 1.0;
-/// Shortest time after which a caller tries again: rounding must not make it try at once.
+/// Minimum time before a caller retries, in seconds, so that rounding does not cause an immediate
+/// retry.
 pub const MIN_TOKEN_WAIT_S: f64 = 0.001;
-/// Share of the state service's published rates that one node allows itself: the leader does
-/// most of the work, and three nodes share the limits.
+/// Share of the state service's published rates that one node uses at most. The three nodes share
+/// these rates, and the leader does most of the work.
 pub const STORE_RATE_SHARE: f64 = 0.6;
-/// Seconds' worth of calls that the cloud accepts at once, by the protocol.
+/// Burst size of the rate limit for calls to the cloud, in seconds of the sustained rate, as
+/// defined by the protocol.
 pub const CLOUD_BURST_S: f64 = 2.0;
-/// Beside that, share of the changes a second that each node keeps for its users: where few changes a
-/// second are allowed, a leader's rounds and completions would take every token.
+/// Share of the state service's rate of changes that each node reserves for its users, in addition
+/// to [`STORE_RATE_SHARE`]. Without it, a leader's rounds and completions would take every token
+/// where the rate of changes is low.
 pub const USER_WRITE_SHARE: f64 = 0.1;
-/// Seconds' worth of users' changes at once: a submission takes one, a cancellation two.
+/// Burst size of the rate limit for users' changes, in seconds of the sustained rate. A submission
+/// takes one change, a cancellation two.
 pub const USER_WRITE_BURST_S: f64 = 2.0;
-/// Share kept back for lease renewals and the leader's work when users flood a node, and for returns
-/// among the calls to the cloud.
+/// Share of a rate limit's tokens that is reserved: at the state service for lease renewals and the
+/// leader's work when users flood a node, at the cloud for returns of machines.
 pub const RESERVED_RATE_SHARE: f64 = 0.25;
 
 // Engine
 
-/// Outcomes of the node's own calls, and peers' messages, waiting for the engine, beside one
-/// request of each connection. Past all of that requests are refused with 503.
+/// Capacity of the engine's queue for results of the node's own calls and messages of peers, in
+/// addition to one request per connection. When the queue is full, requests are refused with 503.
 pub const ENGINE_QUEUE_COMMANDS: usize = 256;
-/// Commands handled in one batch, so that a flood cannot hold up time-driven work.
+/// Maximum number of commands that are handled in one batch, so that a flood of commands does not
+/// delay time-driven work.
 pub const MAX_ENGINE_BATCH: usize = 128;
-/// Longest time between two steps of the engine: bounds how late a timeout is noticed, and costs next
-/// to nothing.
+/// Maximum time between two steps of the engine. It bounds how late a timeout is noticed; such a
+/// step costs almost nothing.
 pub const ENGINE_TICK: Duration = Duration::from_millis(200);
-/// What the engine's clock shows at the process's start: 100 days, so that it can represent times
-/// before that, such as when a machine was rented.
+/// Value of the engine's clock at the start of the process: 100 days, so that the clock can
+/// represent earlier times, such as the time at which a machine was rented.
 pub const CLOCK_START: Duration = Duration::from_secs(100 * 24 * 3_600);
-/// First pause after a failed call to the state service or the cloud.
+/// Initial backoff after a failed call to the state service or the cloud.
 pub const RETRY_INITIAL_PAUSE: Duration = Duration::from_millis(150);
-/// Longest pause after failed calls.
+/// Maximum backoff after failed calls.
 pub const RETRY_MAX_PAUSE: Duration = Duration::from_millis(2000);
-/// Allowance for messages and slow turns of our own process, in every safety margin.
+/// Allowance for message delays and slow steps of this process in every safety margin.
 pub const SAFETY_MARGIN: Duration = Duration::from_millis(2000);
-/// Monotonic clocks drift by up to 0.05%; counted double, for two clocks, in parts per million.
+/// Assumed drift between two monotonic clocks, in parts per million: each clock drifts by up to
+/// 0.05%, which is counted twice.
 pub const CLOCK_DRIFT_PPM: u64 = 1000;
-/// Between two passes over open rounds and over the fleet.
+/// Time between two passes over the open rounds and the fleet.
 pub const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1000);
-/// A node that has not learnt the machine types for this long after its start serves users'
-/// questions without them: usually the first call tells, and until then others serve better.
+/// Time after the start of a node after which the node serves users' queries even without the
+/// machine types. Usually the first call returns the machine types; until then, other nodes can
+/// serve users better.
 pub const MACHINE_TYPES_READY_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// Between reading the machine types again (spot prices move).
+/// Time between two reads of the machine types, whose spot prices change.
 pub const MACHINE_TYPES_INTERVAL: Duration = Duration::from_millis(60_000);
 
 // Leadership
 
-/// A leader's lease in the state service. Short, so that a crashed leader is replaced in a few
-/// seconds; long enough for several renewals, each of which may take a few hundred ms.
+/// Time to live of the leader's lease in the state service. It is short enough for a crashed leader
+/// to be replaced within a few seconds, and long enough for several renewals, each of which may
+/// take a few hundred milliseconds.
 pub const LEASE_TTL: Duration = Duration::from_millis(4000);
-/// Between renewals: three more chances before the lease expires.
+/// Time between two renewals of the leader's lease. A failed renewal can be retried three times
+/// before the lease expires.
 pub const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
-/// A leader that has stepped down because it could not hear the workers does not campaign again for
-/// this long, so that another node does.
+/// Time for which a leader that stepped down because it received no heartbeats does not campaign
+/// again, so that another node is elected.
 pub const CAMPAIGN_PAUSE_AFTER_STEP_DOWN: Duration = Duration::from_millis(15_000);
-/// After an election, besides two heartbeats: a worker gives up on its old node after 4 s and needs a
-/// second to find the new leader.
+/// Time after an election, in addition to two heartbeat intervals, for which a leader waits at most
+/// for the first heartbeats before it rents machines. A worker gives up on its previous node after
+/// 4 s and needs one more second to find the new leader.
 pub const ELECTION_SETTLE_TIME: Duration = Duration::from_millis(5_000);
 
 // Records in the state service
 
-/// Mutations that the end of a job takes.
+/// Number of mutations that a transaction needs for the end of a job.
 pub const MUTATIONS_PER_FINISHED_JOB: usize = 2;
-/// How long a watch may stay open without a change. The send time of an answered watch is what the
-/// leader's knowledge of cancellations counts from, so it must be short.
+/// Maximum time for which a watch waits for a change. The leader's knowledge of cancellations is as
+/// old as the time at which the last answered watch was sent, so this time must be short.
 pub const WATCH_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Items of a listing page: pages come to 512 KiB at most; this many items keep them small enough for
-/// the process's memory.
+/// Number of items requested per page of a list. A page may take up to 512 KiB; this number keeps
+/// pages small enough for the memory of the process.
 pub const STORE_LIST_PAGE_ITEMS: u64 = 200;
-/// Bytes of a job's record kept free when it is accepted: later ones tell when it could begin.
+/// Number of bytes that are kept free in a job's record when the job is accepted, since later
+/// versions of the record also contain the time at which the job could start.
 pub const JOB_RECORD_RESERVED_BYTES: usize = 64;
-/// Tasks a progress record covers: as hexadecimal text 1 KiB, half of the least value limit that the
-/// settings may give.
+/// Number of tasks that a progress record covers. Its hexadecimal text takes 1 KiB, half of the
+/// smallest value limit that the settings may give.
 pub const PROGRESS_RECORD_TASKS: u32 = 4096;
-/// Tasks such a record covered in the version before dependencies between jobs. For the upgrade: once
-/// no array is left that it began, nothing reads it.
+/// Number of tasks that a progress record covered in the version before dependencies between jobs.
+/// It is needed for upgrades, as long as an array that was started by that version is left.
 pub const LEGACY_PROGRESS_RECORD_TASKS: u32 = 8192;
-/// Between two writes of partial progress of arrays and removals of records, at least; ends of jobs do
-/// not wait.
+/// Minimum time between two writes of arrays' partial progress and of removals of records. Ends of
+/// jobs are written without this delay.
 pub const MIN_PROGRESS_WRITE_INTERVAL: Duration = Duration::from_millis(500);
-/// Where few changes a second are allowed, that interval is the time in which so many are.
+/// Number of changes that the rate limit of the state service must allow between two writes of
+/// progress. This makes the interval longer than [`MIN_PROGRESS_WRITE_INTERVAL`] where the rate of
+/// changes is low.
 pub const CHANGES_PER_PROGRESS_WRITE: f64 = 30.0;
 
 // Dependencies
 
-/// Reads in flight of how jobs ended that others depend on: few, since a new leader may need many.
+/// Maximum number of concurrent reads of final records of jobs that other jobs depend on. It is low
+/// because a new leader may need many such records.
 pub const MAX_FINAL_RECORD_READS: usize = 8;
-/// Between two reads of the newest changes on behalf of users who ask about blocked jobs: one serves
-/// all that asked before it.
+/// Minimum time between two reads of the latest changes for users' queries about blocked jobs. One
+/// read serves all queries that arrived before it.
 pub const BLOCKED_JOB_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
-/// How long such a question waits in the engine: below [`USER_TIMEOUT`].
+/// Maximum time for which a query about a blocked job waits in the engine: less than
+/// [`USER_TIMEOUT`].
 pub const BLOCKED_JOB_QUERY_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 // Scheduling
 
-/// Conditions that a transaction may have for each mutation, by the protocol.
+/// Maximum number of conditions of a transaction per mutation, as defined by the protocol.
 pub const CONDITIONS_PER_MUTATION: usize = 4;
-/// Between two scheduling passes: submissions of a burst share a round.
+/// Time between two scheduling passes, so that the submissions of a burst share a round.
 pub const SCHEDULING_INTERVAL: Duration = Duration::from_millis(100);
-/// Starts that one transaction of a round writes, in as many records as that takes: with its
-/// conditions it stays well below the 64 KiB of a transaction. A larger gang takes several.
+/// Maximum number of task starts that one transaction of a round writes, in as many records as
+/// necessary. With its conditions, such a transaction stays well below the limit of 64 KiB. A
+/// larger gang takes several transactions.
 pub const MAX_STARTS_PER_TRANSACTION: usize = 512;
-/// JSON bytes that one start takes in a round's record, at most: two ids, a number, marks.
+/// Maximum size of one task start in a round's record, in bytes of JSON: two ids, a number and
+/// punctuation.
 pub const TASK_START_RECORD_BYTES: usize = 64;
-/// Bits of an attempt number that count rounds within a term: a million rounds a term, and
-/// terms up to 2^44.
+/// Number of bits of an attempt number that count the rounds within a term: one million rounds per
+/// term, and terms up to 2^44.
 pub const ROUND_BITS: u32 = 20;
-/// How long after a round's transaction got no response orphaned records of it are looked for: a
-/// response that is missing for a minute rarely means that more is still to come, and what comes
-/// later is found by the next leader.
+/// Time between a round's transaction that got no response and the search for orphaned records of
+/// that transaction. After a minute, the transaction is rarely still carried out; records that are
+/// written even later are found by the next leader.
 pub const ORPHANED_ROUND_SEARCH_DELAY: Duration = Duration::from_millis(60_000);
-/// A job whose record was found changed when its round was written is left out of rounds for this
-/// long: the watch usually tells of the change within some ms, and at most a second later.
+/// Time for which a job is left out of rounds after the write of a round has found the job's record
+/// changed. The watch usually reports the change within some milliseconds, and after a second at
+/// most.
 pub const CHANGED_JOB_BACKOFF: Duration = Duration::from_millis(500);
-/// Tasks on one machine at most: a heartbeat takes up to 64 KiB and names each task in some 85 bytes,
-/// those that have exited and wait to be forgotten as well, for which half of it is left.
+/// Maximum number of tasks on one machine. A heartbeat may take 64 KiB and uses about 85 bytes for
+/// each task. Half of it is left for tasks that have exited and have not been forgotten yet.
 pub const MAX_TASKS_PER_MACHINE: u32 = 384;
-/// Unplaced tasks of one job that are counted, even if each needs a machine of its own: a larger job
-/// rents for the rest once these are placed.
+/// Maximum number of a job's unplaced tasks that are counted, even if each task needs its own
+/// machine. For a larger job, further machines are rented when these tasks are placed.
 pub const MAX_UNPLACED_TASKS: u32 = MAX_EXPECTED_MACHINES as u32;
-/// A job of which nothing has begun for this long goes before all others, and resources are reserved
-/// for a gang: with the time that running work takes to end it begins within four minutes, which the
-/// users ask for. Much shorter, and every burst would be served in order of arrival instead of by
-/// priority.
+/// Time after which a job without any started task takes precedence over all others, and resources
+/// are reserved for the job if it is a gang. Including the time in which running tasks end, such a
+/// job starts within four minutes, as users require. With a much shorter time, every burst would be
+/// served in order of arrival instead of priority.
 pub const STARVATION_THRESHOLD: Duration = Duration::from_millis(90_000);
-/// From this many failures in a row on a job does not count as starving: it would go first, and
-/// reserve resources, only to fail again.
+/// Number of consecutive failures from which a job does not count as starving: the job would take
+/// precedence and reserve resources, only to fail again.
 pub const STARVATION_MAX_FAILURES: u32 = 3;
-/// Where a job without a deadline stands among those with one, after its submission: behind all that
-/// are due within an hour.
+/// Deadline, counted from the submission, by which a job without a deadline is ordered: after all
+/// jobs that are due within an hour.
 pub const DEFAULT_DEADLINE: Duration = Duration::from_millis(3_600_000);
 
 // Preemption and consolidation
 
-/// A job waits this long before others are preempted for it: resources often free up by themselves.
+/// Time for which a job waits before other tasks are preempted for it, since resources often become
+/// free without preemption.
 pub const PREEMPTION_DELAY: Duration = Duration::from_millis(3_000);
-/// And this long before more are preempted for it: stopping with a checkpoint, reporting it and
-/// starting take several seconds.
+/// Time between two preemptions for the same job: stopping tasks with a checkpoint, reporting it
+/// and starting the job's tasks takes several seconds.
 pub const PREEMPTION_COOLDOWN: Duration = Duration::from_millis(15_000);
-/// Jobs for which victims are searched in vain in one pass; they are searched for again after
-/// [`PREEMPTION_DELAY`], so that the next ones get their turn.
+/// Maximum number of jobs per pass for which the search for victims finds none. The search for
+/// these jobs is repeated after [`PREEMPTION_DELAY`], so that other jobs are considered in the
+/// meantime.
 pub const MAX_PREEMPTION_SEARCHES: usize = 8;
-/// A task that started less than this long ago is not preempted: by the protocol a start counts only
-/// if the task is left alone for 30 s.
+/// Minimum time that a task runs before it may be preempted. By the protocol, a start counts only
+/// if the task is not stopped for 30 s.
 pub const MIN_RUN_BEFORE_PREEMPTION: Duration = Duration::from_millis(30_000);
-/// Between two machines that are drained to consolidate services: stopping replicas, reporting it and
-/// starting them elsewhere takes several seconds, and the next choice has to see what is left.
+/// Time between two decisions to drain a machine for consolidating services. Stopping replicas,
+/// reporting it and starting them elsewhere takes several seconds, and the next decision must be
+/// based on the result.
 pub const CONSOLIDATION_INTERVAL: Duration = Duration::from_millis(10_000);
-/// Most of a machine in use, in thousandths, for it to be drained: of two that could be joined,
-/// the fuller one's replicas stay.
+/// Maximum utilization of a machine that may be drained, in thousandths. Of two machines whose
+/// replicas fit on one, the replicas of the fuller machine stay.
 pub const MAX_DRAINED_USE_PERMILLE: u64 = 500;
 
 // Workers
 
-/// Most doublings of the pause after failures; it reaches its maximum long before.
+/// Maximum number of doublings of the backoff after failures. The backoff reaches its maximum much
+/// earlier.
 pub const MAX_BACKOFF_DOUBLINGS: u32 = 16;
-/// A start that is not sent within so many heartbeat intervals is undone.
+/// Number of heartbeat intervals after which a start that has not been sent is undone.
 pub const STALLED_START_HEARTBEATS: u32 = 3;
-/// How long a worker waits for the response to its heartbeat, by the protocol.
+/// Time for which a worker waits for the response to its heartbeat, as defined by the protocol.
 pub const WORKER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// How long the response to a heartbeat may wait for a round to be written: a commit takes about
-/// 10 ms, at times a few hundred; a worker waits 4 s.
+/// Maximum time for which the response to a heartbeat is held back until a round is written. A
+/// commit usually takes about 10 ms and occasionally a few hundred; a worker waits 4 s.
 pub const HEARTBEAT_HOLD_TIMEOUT: Duration = Duration::from_millis(400);
-/// Bits of a fencing token below the leader's term: raised at most twice a worker's lease, they
-/// last a leader for longer than any process runs.
+/// Number of bits of a fencing token below the leader's term. This part is incremented at most
+/// twice per worker lease, so it lasts longer than any process runs.
 pub const TOKEN_BITS: u32 = 20;
-/// Workers remembered that were redirected to a leader that can't be reached; any more are treated as
-/// if they came for the first time.
+/// Maximum number of remembered workers that were redirected to a leader that can't be reached.
+/// Workers beyond it are treated as if they had not been redirected before.
 pub const MAX_REDIRECTS_REMEMBERED: usize = MAX_EXPECTED_MACHINES;
-/// A start that was sent and is missing from the next heartbeat is sent again this often before its
-/// round is taken to be stalled.
+/// Number of times that a start is resent when it is missing from the next heartbeat, before its
+/// round counts as stalled.
 pub const MAX_START_RESENDS: u32 = 3;
-/// A machine on which tasks of this many jobs failed, with no completion between, is
-/// quarantined: one job alone may be at fault itself.
+/// Number of different jobs with failed tasks on a machine, without a completion in between, at
+/// which the machine is quarantined. Failures of a single job may be the job's own fault.
 pub const QUARANTINE_FAILED_JOBS: usize = 2;
-/// After a task's failure its job waits this long before its next start, doubling with each failure in
-/// a row: a job submitted with a mistake fails everywhere and must not use up the fleet.
+/// Initial backoff of a job after the failure of a task; the backoff doubles with each consecutive
+/// failure. A job that was submitted with a mistake fails on every machine and must not use up the
+/// fleet.
 pub const TASK_FAILURE_INITIAL_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Longest such wait.
+/// Maximum backoff of a job after failures of its tasks.
 pub const TASK_FAILURE_MAX_BACKOFF: Duration = Duration::from_millis(60_000);
 
 // Autoscaling
 
-/// Greatest age of a machine that is believed, s.
+/// Maximum age of a listed machine that is accepted, in seconds; higher values are reduced to it.
 pub const MAX_MACHINE_AGE_S: f64 = 1e9;
-/// Lower bound on a fetch rate, GB/s; a type with a rate of 0 would divide by 0.
+/// Lower bound on the fetch rate of a machine type, in GB/s. A rate of 0 would lead to a division
+/// by 0.
 pub const MIN_FETCH_GB_PER_S: f64 = 1e-3;
-/// Between machine lists: the list lags by seconds anyway.
+/// Time between two reads of the machine list, which may be out of date by some seconds in any
+/// case.
 pub const MACHINE_LIST_INTERVAL: Duration = Duration::from_millis(6000);
-/// Machines a page of the cloud's list: the protocol's most.
+/// Number of machines per page of the cloud's list: the maximum that the protocol allows.
 pub const MACHINE_LIST_PAGE_ITEMS: u64 = 500;
-/// Pages of one list: four times those of [`MAX_EXPECTED_MACHINES`]. A list that goes on is given up
-/// and begun again later.
+/// Maximum number of pages of one list: four times as many as [`MAX_EXPECTED_MACHINES`] machines
+/// take. A longer list is abandoned and read again later.
 pub const MAX_MACHINE_LIST_PAGES: u32 =
     4 * (MAX_EXPECTED_MACHINES as u32).div_ceil(MACHINE_LIST_PAGE_ITEMS as u32);
-/// Machines that one request may rent.
+/// Maximum number of machines in one rental request.
 pub const MAX_MACHINES_PER_RENTAL: u64 = 50;
-/// Machines that one return may name.
+/// Maximum number of machines in one return request.
 pub const MAX_MACHINES_PER_RETURN: usize = 100;
-/// Returned machines remembered, so that late heartbeats and lagging lists do not bring them back: a
-/// list is late by half a minute, a heartbeat by minutes. The oldest are forgotten first, when each
-/// machine of a fleet was returned four times.
+/// Maximum number of returned machines that are remembered, so that late heartbeats and outdated
+/// lists do not add them again. A list is up to half a minute out of date, a heartbeat up to some
+/// minutes. The oldest entries are removed first; the limit allows for four returns of each machine
+/// of the largest expected fleet.
 pub const MAX_RETURNED_MACHINES_REMEMBERED: usize = 4 * MAX_EXPECTED_MACHINES;
-/// Between two passes that rent, while more is wanted than one pass has asked for: the calls are what
-/// limits it.
+/// Time between two passes that rent machines while more machines are needed than one pass could
+/// request. Rentals are limited by the rate of calls to the cloud, not by this interval.
 pub const RENTAL_PASS_INTERVAL: Duration = Duration::from_millis(200);
-/// Pause after a refused rental of an offer; doubled at each further refusal.
+/// Initial backoff of an offer after a refused rental; the backoff doubles with each further
+/// refusal.
 pub const REFUSED_OFFER_INITIAL_PAUSE: Duration = Duration::from_millis(5_000);
-/// Longest such pause.
+/// Maximum backoff of an offer after refused rentals.
 pub const REFUSED_OFFER_MAX_PAUSE: Duration = Duration::from_millis(15_000);
-/// A machine that is not up after this many times its nominal boot time is returned: usual
-/// boots take up to 1.5 times, a few several times as long, and some never come up.
+/// Multiple of its nominal boot time after which a machine that is not up is returned. Most boots
+/// take up to 1.5 times the nominal time, a few take several times as long, and some machines never
+/// come up.
 pub const BOOT_TIMEOUT_FACTOR: f64 = 3.0;
-/// And never sooner than this.
+/// Minimum time after which a machine that is not up is returned.
 pub const MIN_BOOT_TIMEOUT: Duration = Duration::from_millis(45_000);
-/// The cloud charges a deleted machine at least this long: returning it sooner saves nothing.
+/// Minimum time for which the cloud charges a machine. An earlier return saves nothing.
 pub const MIN_CHARGED_TIME: Duration = Duration::from_millis(60_000);
-/// A new leader rents as soon as no more than one in so many machines that must be up has yet to
-/// send a heartbeat: few enough for their resources to matter little, more than are usually dead.
+/// A new leader rents machines as soon as at most one in this many machines that should be up has
+/// not sent a heartbeat yet. The resources of so few machines matter little, and usually fewer than
+/// these are dead.
 pub const UNHEARD_MACHINES_DIVISOR: usize = 4;
-/// Arrivals of jobs that are remembered. Of each some hundred bytes are kept; a burst at 700 machines
-/// brings 600 within [`ARRIVAL_WINDOW`]. Beyond that the oldest are forgotten, and the rate is taken
-/// over the time that the rest span.
+/// Maximum number of job arrivals that are remembered, at about a hundred bytes each. A burst at
+/// 700 machines brings 600 arrivals within [`ARRIVAL_WINDOW`]. The oldest arrivals are removed
+/// first, and the rate is then calculated over the time that the others span.
 pub const MAX_ARRIVALS: usize = MAX_EXPECTED_MACHINES;
-/// Time over which the rate of arrivals is taken: long enough for a few of each class, short enough to
-/// follow a burst.
+/// Time over which the arrival rate is calculated: long enough for a few arrivals of each class,
+/// and short enough to follow a burst.
 pub const ARRIVAL_WINDOW: Duration = Duration::from_millis(180_000);
