--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,9 @@
 //! from a cloud, place tasks on workers, and keep all durable state in a consensus-backed key-value
 //! store, the state service.
 //!
-//! `docs/architecture.md` says who owns which state, and follows a submission, a cancellation and a
-//! failover through the code. The design, and the argument for its safety, are in `docs/design.md`.
+//! `docs/architecture.md` describes which component owns which state, and follows a submission, a
+//! cancellation and a failover through the code. `docs/design.md` describes the design and explains
+//! why it is safe.
 
 pub mod api;
 pub mod autoscaler;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: its command line, and nothing else.
+//! The command line of the `umbervale` program.
 
 use clap::{Args, Parser, Subcommand};
 use std::convert::Infallible;
@@ -9,10 +9,10 @@
 use umbervale::node::Node;
 use umbervale::settings::Settings;
 
-/// Exit code if the settings are refused.
+/// Exit code for settings that are refused.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
-/// Environment variable with the log level.
+/// Name of the environment variable that sets the log level.
 const LOG_LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
 /// A cluster scheduler: accepts jobs, rents machines and places tasks on them.
@@ -42,7 +42,8 @@
 }
 
 impl SettingsFiles {
-    /// Reads and checks the files; the error is the program's exit code, its cause is printed.
+    /// Reads and validates the files. On an error, prints its text and returns the exit code of the
+    /// program.
     fn load(&self) -> Result<Settings, ExitCode> {
         Settings::load(&self.config, self.operator.as_deref()).map_err(|error| {
             eprintln!("umbervale: {error}");
@@ -59,7 +60,7 @@
     result.unwrap_or_else(|exit_code| exit_code)
 }
 
-/// Prints what operators should know of valid settings.
+/// Prints the warnings about valid settings and the name of the node.
 fn check(config: &Path, settings: &Settings) -> ExitCode {
     for warning in settings.warnings() {
         eprintln!("umbervale: {}: warning: {warning}", config.display());
@@ -68,7 +69,7 @@
     ExitCode::SUCCESS
 }
 
-/// Runs a node; returns only if it can't be started.
+/// Runs a node. Returns only if the node can't be started.
 fn serve(settings: Settings) -> ExitCode {
     tracing_subscriber::fmt()
         .with_max_level(log_level())
--- a/src/settings/capacity.rs
+++ b/src/settings/capacity.rs
@@ -1,30 +1,30 @@
-//! The memory that queues, caches and requests' bodies of a node may take together, and how many
-//! machines the rest is enough for. The sum is explained in `docs/design.md`.
+//! Calculates the maximum memory of a node's connections, request bodies, responses and caches, and
+//! the number of machines that fit into the rest. `docs/design.md` explains the sum.
 
 use super::{Settings, SettingsWarning};
 use crate::constants;
 
-/// Bytes of a MB.
+/// Number of bytes in a megabyte.
 const BYTES_PER_MB: f64 = 1e6;
 
-/// Most memory that a node takes, bytes, without that for the machines of the cluster, which the
+/// Maximum memory of a node, in bytes, without the machines of the cluster, whose number the
 /// settings do not bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct MemoryRequirement {
-    /// The process without any work.
+    /// The process after its start.
     pub(super) process: usize,
-    /// All connections of `front`, with their buffers full.
+    /// All connections of `front`, each with a full buffer.
     pub(super) connections: usize,
-    /// Bodies of requests, and what is decoded from them.
+    /// Request bodies and the values decoded from them.
     pub(super) request_bodies: usize,
-    /// Responses of the state service and the cloud, and what is decoded from them.
+    /// Responses of the state service and the cloud, and the values decoded from them.
     pub(super) responses: usize,
-    /// Caches of final states.
+    /// The cache of final job states.
     pub(super) caches: usize,
 }
 
 impl MemoryRequirement {
-    /// The requirement under these settings.
+    /// Calculates the requirement of a node with these settings.
     pub(super) fn new(settings: &Settings) -> Self {
         MemoryRequirement {
             process: constants::PROCESS_BASE_BYTES,
@@ -37,26 +37,27 @@
         }
     }
 
-    /// The sum of all parts, bytes.
+    /// Returns the sum of all parts, in bytes.
     pub(super) fn total(self) -> usize {
         self.process + self.connections + self.request_bodies + self.responses + self.caches
     }
 }
 
 impl Settings {
-    /// Memory of the process, bytes.
+    /// Returns the memory limit of the process, in bytes.
     pub(super) fn memory_bytes(&self) -> usize {
         (self.cluster.machine_limits.mem_mb * BYTES_PER_MB) as usize
     }
 
-    /// How many machines, with their tasks and jobs, the rest of the memory is enough for.
+    /// Returns the number of machines, with their tasks and jobs, that fit into the rest of the
+    /// memory.
     pub(super) fn max_machines_in_memory(&self) -> usize {
         let required = MemoryRequirement::new(self).total();
         self.memory_bytes().saturating_sub(required) / constants::BYTES_PER_MACHINE
     }
 
-    /// What operators should know of settings that are allowed, but ask for more than was measured
-    /// to work.
+    /// Returns warnings about settings that are allowed, but ask for more than the service has been
+    /// measured with.
     pub fn warnings(&self) -> Vec<SettingsWarning> {
         let warnings = [
             self.memory_warning(),
@@ -84,8 +85,9 @@
             .then_some(SettingsWarning::LowCpuShare { cpu_share })
     }
 
-    /// Whether the teams' limits allow more machines than the memory may be enough for. How many
-    /// GPUs a machine has is not known here, so the warning tells how many it must have.
+    /// Returns a warning if the teams' limits allow more machines than fit into the memory. The
+    /// number of GPUs per machine is not known here, so the warning states how many GPUs a machine
+    /// must have for the memory to suffice.
     fn cluster_size_warning(&self) -> Option<SettingsWarning> {
         let gpus: f64 = self.cluster.teams.iter().map(|team| team.gpus_max).sum();
         let machines = self.max_machines_in_memory().max(1);
--- a/src/settings/cluster.rs
+++ b/src/settings/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster's part of the platform's settings. The names of the types stand in error texts.
+//! The cluster section of the platform's settings. Error texts contain the names of these types.
 
 use super::Team;
 use crate::constants;
@@ -10,7 +10,7 @@
 pub enum ObjectiveKind {
     /// The time until a job's tasks run.
     Wait,
-    /// Anything that no decision of the scheduler depends on.
+    /// Any other measure; the scheduler ignores it.
     Other,
 }
 
@@ -18,15 +18,15 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(from = "Objective")]
 pub struct ServiceLevelObjective {
-    /// What it measures.
+    /// What the objective measures.
     pub kind: ObjectiveKind,
-    /// Class of the jobs that it is about; all if absent.
+    /// Class of the jobs to which the objective applies; all classes if absent.
     pub class: Option<String>,
-    /// Time within which it is met, if it is about a time.
+    /// Upper bound on the measured time, for objectives that measure a time.
     pub within: Option<Duration>,
 }
 
-/// A service-level objective as the platform's file has it.
+/// A service-level objective in the form of the platform's file.
 #[derive(Debug, Clone, Deserialize)]
 struct Objective {
     kind: String,
@@ -42,7 +42,7 @@
             "wait" => ObjectiveKind::Wait,
             _ => ObjectiveKind::Other,
         };
-        // Whole milliseconds; a negative number or one that is not a number counts as 0.
+        // The time is cut to whole milliseconds; negative values and NaN become 0.
         let duration = |seconds: f64| Duration::from_millis((seconds * 1000.0) as u64);
         ServiceLevelObjective {
             kind,
@@ -52,38 +52,39 @@
     }
 }
 
-/// The workers' heartbeats, and how long their tasks may run without them.
+/// Times of the workers' heartbeats, leases and gangs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Time between two heartbeats of a worker, s.
+    /// Time between two heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// A worker's lease: after this time without a response to its heartbeats, it stops its tasks, s.
+    /// A worker's lease, in seconds: a worker that gets no response to its heartbeats for this long
+    /// stops its tasks.
     pub lease_s: f64,
-    /// How long the started tasks of a gang wait for the others, s.
+    /// Time for which the started tasks of a gang wait for the others, in seconds.
     pub gang_wait_s: f64,
-    /// How long the tasks of a gang run on when one of them is lost, s.
+    /// Time for which the tasks of a gang keep running after one of them is lost, in seconds.
     pub gang_peer_s: f64,
-    /// Time within which all tasks of a cancelled job must have stopped, s.
+    /// Time within which all tasks of a cancelled job must have stopped, in seconds.
     pub cancel_s: f64,
 }
 
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct State {
-    /// Calls a second.
+    /// Maximum number of calls per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Maximum number of changes per second.
     pub write_rps: f64,
-    /// Largest value, KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes in one transaction.
+    /// Maximum number of changes in one transaction.
     pub txn_ops: usize,
-    /// Limits that will apply from some moment on, without notice.
+    /// Limits that will replace these at some time, without notice.
     #[serde(default)]
     pub(super) next: Option<NextState>,
 }
 
-/// Limits of the state service to come. What is left out stays as it is.
+/// Future limits of the state service. A limit that is left out does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub(super) struct NextState {
@@ -94,8 +95,9 @@
 }
 
 impl State {
-    /// Lowers each limit to the one to come, if that is lower. Requests within both limits are
-    /// accepted at any time, so that no node has to find out when the change takes effect.
+    /// Lowers each limit to its future value, if that is lower. Requests within both limits are
+    /// accepted before and after the change, so that no node has to detect when the change takes
+    /// effect.
     pub(super) fn apply_lower_limits(&mut self) {
         let next = self.next.take().unwrap_or_default();
         let lower = |limit: &mut f64, next: Option<f64>| {
@@ -112,13 +114,13 @@
 /// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cloud {
-    /// Calls a second.
+    /// Maximum number of calls per second.
     pub rps: f64,
-    /// By how much the list of machines may be out of date, s.
+    /// Time by which the machine list may be out of date, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What is the same for all nodes of a cluster.
+/// Settings that all nodes of a cluster share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cluster {
     /// Zones in which machines can be rented; at least one.
@@ -129,26 +131,26 @@
     /// Service-level objectives of the users.
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
-    /// Heartbeats and leases of the workers.
+    /// Times of the workers' heartbeats, leases and gangs.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: State,
     /// Limits of the cloud's API.
     pub cloud: Cloud,
-    /// What a node's machine allows.
+    /// Limits of the machine on which a node runs.
     #[serde(default)]
     pub machine_limits: MachineLimits,
 }
 
-/// What a node's machine allows.
+/// Limits of the machine on which a node runs.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct MachineLimits {
-    /// Sockets at once.
+    /// Maximum number of open sockets.
     pub max_connections: usize,
-    /// Memory of the process, MB.
+    /// Memory limit of the process, in MB.
     pub mem_mb: f64,
-    /// Share of a processor core; none if it is not limited.
+    /// Share of a processor core; unlimited if absent.
     pub cpu_share: Option<f64>,
 }
 
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,10 +1,10 @@
-//! Why a settings file is refused. Operators read these texts, so they name the file and the field.
+//! Errors of settings files. Their texts are written for operators and name the file and the field.
 
 use super::operator::MAX_IDLE_S;
 use super::validation::{MAX_AMOUNT, MAX_NODE_NAME_BYTES, MAX_TEAM_AMOUNT};
 use crate::constants;
 
-/// What is wrong with a settings file.
+/// An error in reading, parsing or validating a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -15,7 +15,7 @@
         /// The cause.
         source: std::io::Error,
     },
-    /// The file's text does not have the expected form.
+    /// The file's text can't be parsed.
     #[error("{file}: {source}")]
     Parse {
         /// Path of the file.
@@ -28,18 +28,18 @@
     Field {
         /// Path of the file.
         file: String,
-        /// The field, and what is allowed.
+        /// The field and the rule that its value breaks.
         source: InvalidField,
     },
 }
 
-/// Why a settings file's text can't be parsed.
+/// The reason why a settings file's text can't be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
-    /// The platform's file is not TOML of the expected form.
+    /// The platform's file is not valid TOML, or its fields don't match the settings.
     #[error(transparent)]
     Toml(#[from] toml::de::Error),
-    /// The operators' file is not an S-expression of the expected form.
+    /// The operators' file is not a valid S-expression, or its fields don't match the settings.
     #[error(transparent)]
     SExpression(#[from] serde_lexpr::Error),
 }
@@ -48,9 +48,9 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{field}: {violation}")]
 pub struct InvalidField {
-    /// The field's path within the file.
+    /// Path of the field within the file.
     pub(super) field: String,
-    /// What was expected.
+    /// The rule that the value breaks.
     pub(super) violation: Violation,
 }
 
@@ -63,10 +63,10 @@
     }
 }
 
-/// How a value breaks the rule of its field; the texts name the rule.
+/// A rule that the value of a field breaks. The texts state the rule.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub(super) enum Violation {
-    /// A node's name is empty, too long or has spaces in it.
+    /// A node's name is empty, is too long or contains whitespace.
     #[error("expected 1 to {MAX_NODE_NAME_BYTES} bytes without spaces")]
     NodeName,
     /// The list of zones is empty.
@@ -78,30 +78,30 @@
     /// An amount is below its minimum, too large or not a number.
     #[error("expected a number from {minimum} to {MAX_AMOUNT:e}")]
     OutOfRange {
-        /// The least that is allowed.
+        /// The smallest allowed value.
         minimum: f64,
     },
     /// An amount of a team is negative, too large or not a number.
     #[error("expected a number from 0 to {MAX_TEAM_AMOUNT:e}")]
     TeamAmount,
-    /// A size or a number is below its minimum.
+    /// A size or a count is below its minimum.
     #[error("expected at least {minimum}")]
     BelowMinimum {
-        /// The least that is allowed.
+        /// The smallest allowed value.
         minimum: f64,
     },
-    /// The time allowed for a cancellation is too short for a worker's lease to expire in it.
+    /// The time allowed for a cancellation is too short for a worker's lease to expire within it.
     #[error(
         "{cancel_s} given; expected at least lease_s ({lease_s}) and {} s more",
         constants::MIN_CANCEL_SLACK_S
     )]
     CancellationTime {
-        /// Time allowed for a cancellation, s.
+        /// Time allowed for a cancellation, in seconds.
         cancel_s: f64,
-        /// A worker's lease, s.
+        /// A worker's lease, in seconds.
         lease_s: f64,
     },
-    /// The time for which a machine may be idle is negative, too long or not a number.
+    /// The maximum idle time of a machine is negative, too long or not a number.
     #[error("expected a number from 0 to {MAX_IDLE_S}")]
     IdleTime,
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,9 +1,9 @@
-//! Settings: the platform's TOML file, checked, and what is derived from it.
+//! Loads and validates the settings, and derives durations and limits from them.
 //!
-//! `cluster` and `team` have the parts of the file, `validation` the checks on its values,
-//! `timing` the durations that follow from them, `capacity` the memory that a node needs,
-//! `warning` what operators are warned of, `operator` the operators' own file, and `error` why
-//! a file is refused.
+//! `cluster` and `team` contain the sections of the platform's TOML file, `validation` the checks
+//! of its values, `timing` the derived durations, `capacity` the memory that a node needs,
+//! `warning` the warnings for operators, `operator` the operators' own file, and `error` the errors
+//! of a file that is refused.
 
 mod capacity;
 mod cluster;
@@ -28,19 +28,20 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Bodies of the largest size for which there is always memory.
+/// Number of request bodies of the maximum size for which memory is always available.
 const MIN_BODIES: usize = 4;
 
-/// Sockets that a node uses at most beside those of `front`.
+/// Maximum number of sockets that a node uses in addition to those of `front`.
 const OWN_CONNECTIONS: usize = constants::MAX_USER_CALLS
     + constants::MAX_WORKER_CALLS
     + constants::MAX_PEER_CONNECTIONS
     + IDLE_CONNECTION_ADDRESSES * constants::MAX_IDLE_CONNECTIONS;
 
-/// Addresses to which idle connections are allowed for: the two services, with a margin.
+/// Number of addresses for whose idle connections sockets are reserved: the two services and a
+/// margin.
 const IDLE_CONNECTION_ADDRESSES: usize = 4;
 
-/// Bytes of a KiB.
+/// Number of bytes in a KiB.
 const BYTES_PER_KIB: f64 = 1024.0;
 
 /// Another controller node.
@@ -52,7 +53,7 @@
     /// The node's zone.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Where the node accepts connections of its peers.
+    /// Address on which the node accepts connections of its peers.
     pub addr: SocketAddr,
 }
 
@@ -74,43 +75,43 @@
     /// The node's zone.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Where the node accepts connections of users, workers and the load balancer.
+    /// Address on which the node accepts connections of users, workers and the load balancer.
     pub front: SocketAddr,
-    /// Where the node accepts connections of its peers.
+    /// Address on which the node accepts connections of its peers.
     pub back: SocketAddr,
     /// The other nodes of the cluster.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Services that the node calls.
+    /// Addresses of the services that the node calls.
     pub services: Services,
-    /// What is the same for all nodes.
+    /// Settings that all nodes share.
     pub cluster: Cluster,
-    /// The operators' own settings; the defaults if there is no file of theirs.
+    /// The operators' own settings; the defaults if no operators' file is given.
     #[serde(skip)]
     pub operator: Operator,
 }
 
 impl Settings {
-    /// Reads and checks the platform's file and, where one is given, the operators' file.
+    /// Reads and validates the platform's file and, if given, the operators' file.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Read`] if a file can't be read, and those of [`Settings::parse`] and
-    /// [`Operator::parse`].
-    pub fn load(file: &Path, operator: Option<&Path>) -> Result<Settings, SettingsError> {
-        let mut settings = Settings::parse(&read(file)?, &file.display().to_string())?;
-        if let Some(path) = operator {
-            settings.operator = Operator::parse(&read(path)?, &path.display().to_string())?;
+    /// Returns [`SettingsError::Read`] if a file can't be read, and the errors of
+    /// [`Settings::parse`] and [`Operator::parse`].
+    pub fn load(file: &Path, operator_file: Option<&Path>) -> Result<Settings, SettingsError> {
+        let mut settings = Settings::parse(&read_file(file)?, &file.display().to_string())?;
+        if let Some(path) = operator_file {
+            settings.operator = Operator::parse(&read_file(path)?, &path.display().to_string())?;
         }
         Ok(settings)
     }
 
-    /// Parses and checks the platform's settings; `file` names them in errors.
+    /// Parses and validates the platform's settings; errors contain `file` as the name of the file.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Parse`] if the text does not have the expected form, and
-    /// [`SettingsError::Field`] if a value is not allowed.
+    /// Returns [`SettingsError::Parse`] if the text can't be parsed, and [`SettingsError::Field`]
+    /// if a value is not allowed.
     pub fn parse(text: &str, file: &str) -> Result<Settings, SettingsError> {
         let mut settings: Settings =
             toml::from_str(text).map_err(|error| SettingsError::Parse {
@@ -125,37 +126,38 @@
         Ok(settings)
     }
 
-    /// The team of that name, if there is one.
+    /// Returns the team with this name, if it exists.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.cluster.teams.iter().find(|team| team.name == name)
     }
 
-    /// Durations that follow from the settings.
+    /// Returns the durations that are derived from the settings.
     pub fn timing(&self) -> Timing {
         Timing::new(&self.cluster.workers)
     }
 
-    /// Connections accepted on `front` at once: what the machine allows, less those that the node
-    /// opens itself, but at least half, since it rarely has all of its own open.
+    /// Returns the maximum number of concurrent connections on `front`: the machine's limit minus
+    /// the connections that the node opens itself, but at least half of the limit, since the node
+    /// rarely has all of its own connections open.
     pub fn max_front_connections(&self) -> usize {
         let max_connections = self.cluster.machine_limits.max_connections;
         let remaining = max_connections.saturating_sub(OWN_CONNECTIONS);
         remaining.max(max_connections / 2)
     }
 
-    /// Bytes that the bodies of requests may take at one time.
+    /// Returns the maximum memory of all request bodies at any time, in bytes.
     pub fn body_budget(&self) -> usize {
         let share = self.memory_bytes() / constants::BODY_MEMORY_DIVISOR;
         share.max(MIN_BODIES * constants::MAX_BODY_BYTES)
     }
 
-    /// Size of the largest value that the state service accepts, in bytes of its JSON form.
+    /// Returns the maximum size of a value in the state service, in bytes of JSON.
     pub fn max_value_bytes(&self) -> usize {
         (self.cluster.state.value_kb * BYTES_PER_KIB) as usize
     }
 }
 
-fn read(path: &Path) -> Result<String, SettingsError> {
+fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
         file: path.display().to_string(),
         source,
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,19 +1,19 @@
-//! The operators' own settings, as S-expressions. Every field has a default; an unknown one is
-//! an error, since a misspelt setting must not be ignored.
+//! The operators' own settings, in the form of S-expressions. Every field has a default. An unknown
+//! field is an error, so that a misspelt setting is not silently ignored.
 
 use super::error::{InvalidField, SettingsError, Violation};
 use serde::Deserialize;
 
-/// Longest time for which a machine may be idle, s: a day.
+/// Upper bound on [`Operator::idle_s`], in seconds: one day.
 pub(super) const MAX_IDLE_S: f64 = 86_400.0;
 
-/// Choices that are the operators' to make. Fields have the names of the file.
+/// Settings that the operators choose. The fields have the same names in the file.
 #[derive(Debug, Clone, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operator {
-    /// How long a machine may be idle before it is returned, s.
+    /// Time for which a machine may be idle before it is returned, in seconds.
     pub idle_s: f64,
-    /// Most machines rented at once; 0: as many as the cloud gives.
+    /// Maximum number of machines that are rented at the same time; 0 for no limit.
     pub most_machines: u64,
     /// Whether to rent spot instances for jobs that allow them.
     pub spot: bool,
@@ -22,8 +22,8 @@
 impl Default for Operator {
     fn default() -> Self {
         Operator {
-            // About one boot. Capacity for expected jobs is kept apart from this, so that a longer
-            // time costs money and gains little.
+            // About the boot time of a machine. Capacity for expected jobs is kept regardless of
+            // this time, so that a longer time costs money without much benefit.
             idle_s: 30.0,
             most_machines: 0,
             spot: true,
@@ -32,12 +32,12 @@
 }
 
 impl Operator {
-    /// Parses and checks the operators' settings; `file` names them in errors.
+    /// Parses and validates the operators' settings; errors contain `file` as the name of the file.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Parse`] if the text does not have the expected form, and
-    /// [`SettingsError::Field`] if a value is not allowed.
+    /// Returns [`SettingsError::Parse`] if the text can't be parsed, and [`SettingsError::Field`]
+    /// if a value is not allowed.
     pub fn parse(text: &str, file: &str) -> Result<Operator, SettingsError> {
         let operator: Operator =
             serde_lexpr::from_str(text).map_err(|error| SettingsError::Parse {
--- a/src/settings/operator/tests.rs
+++ b/src/settings/operator/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_example_holds_the_defaults() {
+fn example_file_contains_the_defaults() {
     let example = include_str!("../../../examples/operator.sexp");
     assert_eq!(
         Operator::parse(example, "example").unwrap(),
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn s_expressions_are_read_and_checked() {
+fn s_expressions_are_parsed_and_unknown_fields_and_invalid_values_are_refused() {
     let operator = Operator::parse("((idle_s . 30.5) (spot . #f))", "o.sexp").unwrap();
     assert_eq!(
         (operator.idle_s, operator.spot, operator.most_machines),
--- a/src/settings/team.rs
+++ b/src/settings/team.rs
@@ -3,32 +3,33 @@
 use crate::model::Resources;
 use serde::Deserialize;
 
-/// A team of users, with its guarantee and its limit; an amount of 0 means that it has none.
+/// A team of users with its guaranteed resources and its limit. An amount of 0 means that there is
+/// no guarantee or no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// The team's name, as submissions have it.
+    /// The team's name, as used in submissions.
     pub name: String,
     /// CPU cores guaranteed to the team.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPU cores that the team's tasks may use.
+    /// Maximum number of CPU cores that the team's tasks may use.
     #[serde(default)]
     pub cpus_max: f64,
     /// GPUs guaranteed to the team.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs that the team's tasks may use.
+    /// Maximum number of GPUs that the team's tasks may use.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// The amounts guaranteed to the team.
+    /// Returns the resources that are guaranteed to the team.
     pub fn guarantee(&self) -> Limit {
         Limit::new(self.cpus, self.gpus)
     }
 
-    /// The most that the team's tasks may use.
+    /// Returns the maximum resources that the team's tasks may use.
     pub fn limit(&self) -> Limit {
         Limit::new(self.cpus_max, self.gpus_max)
     }
@@ -39,7 +40,7 @@
 pub struct Limit {
     /// Bound on CPUs, in thousandths of a core.
     pub cpus: Option<u64>,
-    /// Bound on GPUs, in thousandths of one.
+    /// Bound on GPUs, in thousandths of a GPU.
     pub gpus: Option<u64>,
 }
 
@@ -52,13 +53,14 @@
         }
     }
 
-    /// Whether `used` stays within the bound.
+    /// Reports whether `used` is within the bound.
     pub fn allows(&self, used: Resources) -> bool {
         self.cpus.is_none_or(|bound| used.cpus <= bound)
             && self.gpus.is_none_or(|bound| used.gpus <= bound)
     }
 
-    /// What is left of the bound beside `used`; `u64::MAX` of what is not bounded.
+    /// Returns the part of the bound that `used` leaves free; `u64::MAX` for resources without a
+    /// bound.
     pub fn remaining(&self, used: Resources) -> Resources {
         let remaining =
             |bound: Option<u64>, used| bound.map_or(u64::MAX, |bound| bound.saturating_sub(used));
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Whether either amount is bounded.
+    /// Reports whether CPUs or GPUs are bounded.
     pub fn is_bounded(&self) -> bool {
         self.cpus.is_some() || self.gpus.is_some()
     }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// The platform's settings of a node, with a field that is not known.
+/// The platform's settings of a node, with an unknown field.
 pub(crate) const SAMPLE: &str = r#"
 node_name = "n0"
 site = "east"
@@ -49,47 +49,47 @@
 "#;
 
 #[test]
-fn errors_name_file_field_and_what_is_allowed() {
+fn errors_name_the_file_the_field_and_the_rule() {
     assert!(Settings::parse(SAMPLE, "s.toml").is_ok());
-    let bad = SAMPLE.replace("lease_s = 17.0", "lease_s = -1.0");
-    let text = Settings::parse(&bad, "s.toml").unwrap_err().to_string();
+    let invalid = SAMPLE.replace("lease_s = 17.0", "lease_s = -1.0");
+    let text = Settings::parse(&invalid, "s.toml").unwrap_err().to_string();
     assert!(
         text.contains("s.toml") && text.contains("workers.lease_s"),
         "{text}"
     );
     assert!(text.contains("above 0"), "{text}");
-    let bad = SAMPLE.replace("cancel_s = 42.0", "cancel_s = 19.0");
+    let invalid = SAMPLE.replace("cancel_s = 42.0", "cancel_s = 19.0");
     assert!(
-        Settings::parse(&bad, "s.toml")
+        Settings::parse(&invalid, "s.toml")
             .unwrap_err()
             .to_string()
             .contains("cancel_s")
     );
-    let bad = SAMPLE.replace("front = ", "fromt = ");
+    let invalid = SAMPLE.replace("front = ", "fromt = ");
     assert!(
-        Settings::parse(&bad, "s.toml")
+        Settings::parse(&invalid, "s.toml")
             .unwrap_err()
             .to_string()
             .contains("front")
     );
 }
 
-/// An error's cause is its source, so that nothing has to be read out of its text.
+/// The cause of an error is its source, so that callers need not parse the error's text.
 #[test]
-fn errors_carry_their_cause() {
+fn errors_return_their_cause_as_source() {
     let cause_of = |text: &str| {
         let error = Settings::parse(text, "s.toml").unwrap_err();
         error.source().map(ToString::to_string)
     };
-    let no_toml = cause_of("((idle_s . 30.0))").unwrap();
-    assert!(!no_toml.contains("s.toml"), "{no_toml}");
+    let not_toml = cause_of("((idle_s . 30.0))").unwrap();
+    assert!(!not_toml.contains("s.toml"), "{not_toml}");
     let no_zones = SAMPLE.replace(r#"zones = ["east", "west"]"#, "zones = []");
     let cause = "cluster.zones: expected at least one zone";
     assert_eq!(cause_of(&no_zones).as_deref(), Some(cause));
 }
 
 #[test]
-fn front_connections_follow_from_the_machine_limits() {
+fn front_connections_are_derived_from_the_machine_limit() {
     let front = |text: &str| {
         Settings::parse(text, "s.toml")
             .unwrap()
@@ -98,23 +98,24 @@
     assert_eq!(front(SAMPLE), 1817 - OWN_CONNECTIONS);
     let larger = SAMPLE.replace("= 1817", "= 12000");
     assert_eq!(front(&larger), 12_000 - OWN_CONNECTIONS);
-    let (without, _) = SAMPLE.split_once("[cluster.machine_limits]").unwrap();
+    let (without_limits, _) = SAMPLE.split_once("[cluster.machine_limits]").unwrap();
     assert_eq!(
-        front(without),
+        front(without_limits),
         constants::DEFAULT_CONNECTIONS - OWN_CONNECTIONS
     );
     let smaller = SAMPLE.replace("= 1817", "= 200");
     assert_eq!(front(&smaller), 100);
-    let bad = SAMPLE.replace("= 1817", "= 10");
-    let text = Settings::parse(&bad, "s.toml").unwrap_err().to_string();
+    let invalid = SAMPLE.replace("= 1817", "= 10");
+    let text = Settings::parse(&invalid, "s.toml").unwrap_err().to_string();
     assert!(text.contains("machine_limits.max_connections"), "{text}");
     assert!(text.contains("at least"), "{text}");
 }
 
-/// A leader that has not heard of a cancellation stops renewing workers' leases within the grace,
-/// and a worker's lease expires before the time allowed for the cancellation is over.
+/// Guards against tasks that run longer than the time allowed for a cancellation: a leader that has
+/// not received the cancellation stops renewing workers' leases at the end of its grace period, and
+/// the last renewed lease must expire within that time.
 #[test]
-fn grace_and_worker_lease_end_before_the_cancellation_deadline() {
+fn leader_grace_and_worker_lease_end_before_the_cancellation_deadline() {
     for (lease, cancel) in [(17.0, 42.0), (30.0, 55.0), (5.0, 12.0), (6.0, 9.0)] {
         let timing = Timing::new(&Workers {
             report_s: 3.0,
@@ -123,13 +124,13 @@
             gang_peer_s: 6.0,
             cancel_s: cancel,
         });
-        // By the slowest clock that the margins allow for.
+        // Durations as measured by the slowest clock that the margins allow for.
         let slow = |duration: Duration| duration + duration / 2000;
         assert!(
             slow(timing.leader_grace) + slow(timing.worker_lease) + Duration::from_millis(500)
                 < Duration::from_secs_f64(cancel)
         );
-        // Renewals and watches come at least this often while all is well.
+        // Without failures, renewals and watches succeed at least this often.
         assert!(
             timing.leader_grace
                 > 2 * constants::LEASE_RENEWAL_INTERVAL.max(constants::WATCH_TIMEOUT)
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn limits_to_come_apply_from_the_start() {
+fn lower_future_limits_apply_from_the_start_and_invalid_ones_are_refused() {
     let parse_with = |next: &str| {
         let text = SAMPLE.replace("txn_ops = 24", &format!("txn_ops = 24\n{next}"));
         Settings::parse(&text, "s.toml")
@@ -170,10 +171,11 @@
     }
 }
 
-/// The sum in `docs/design.md`: whatever callers send, connections, request bodies and caches leave
-/// enough of the memory of the smallest nodes for the machines of a cluster.
+/// Guards the memory calculation in `docs/design.md`: regardless of what callers send, connections,
+/// request bodies and caches leave enough of the smallest nodes' memory for the machines of a
+/// cluster.
 #[test]
-fn memory_requirement_leaves_room_for_the_machines_of_a_cluster() {
+fn memory_requirement_leaves_enough_memory_for_the_machines_of_a_cluster() {
     for (mem_mb, sockets, machines) in [(37.0, 1000, 692), (46.0, 1200, 470), (160.0, 4200, 4000)] {
         let text = SAMPLE.replace("mem_mb = 98.0", &format!("mem_mb = {mem_mb:?}"));
         let text = text.replace("= 1817", &format!("= {sockets}"));
@@ -196,7 +198,7 @@
 }
 
 #[test]
-fn machine_limits_are_checked_and_small_ones_give_a_warning() {
+fn invalid_machine_limits_are_refused_and_low_ones_give_a_warning() {
     let parse_with = |from: &str, to: &str| Settings::parse(&SAMPLE.replace(from, to), "s.toml");
     for (from, to) in [
         ("mem_mb = 98.0", "mem_mb = 0.0"),
@@ -230,7 +232,7 @@
         warnings[0].to_string().contains("allow 90000 GPUs"),
         "{warnings:?}"
     );
-    // The defaults give no warning.
+    // The default limits give no warning.
     let limits = SAMPLE.find("[cluster.machine_limits]").unwrap();
     let defaults = Settings::parse(&SAMPLE[..limits], "s.toml").unwrap();
     assert_eq!(
--- a/src/settings/timing.rs
+++ b/src/settings/timing.rs
@@ -1,31 +1,31 @@
-//! Durations that are derived from the settings.
+//! Derives durations from the settings.
 
 use super::Workers;
 use crate::constants;
 use std::time::Duration;
 
-/// Durations that follow from the settings, in whole milliseconds.
+/// Durations that are derived from the settings, in whole milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     /// A worker's lease.
     pub worker_lease: Duration,
-    /// How long after the send time of its last proof of leadership and of knowing all
-    /// cancellations a leader still responds to heartbeats.
+    /// Time for which a leader still responds to heartbeats, counted from the time at which it sent
+    /// the last successful calls that confirm its leadership and return all cancellations.
     pub leader_grace: Duration,
-    /// A machine that is silent for longer is returned: its tasks have lapsed by then in most
-    /// cases, and the cloud's response is the proof.
+    /// Time without a heartbeat after which a machine is returned. In most cases the worker's lease
+    /// has expired and its tasks have stopped; the cloud's response to the return confirms it.
     pub machine_timeout: Duration,
-    /// Between two heartbeats of a worker.
+    /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// Within this time of its last heartbeat comes the next one of a worker that received the
-    /// response: heartbeats come up to a quarter late, and a response may take all the time that a
-    /// worker waits.
+    /// Time after a worker's heartbeat within which its next heartbeat arrives, if the worker
+    /// received the response. Heartbeats may be late by a quarter of the interval, and a response
+    /// may take as long as a worker waits for it.
     pub heartbeat_deadline: Duration,
 }
 
 impl Timing {
-    /// No caller leaves an open connection unused for longer: workers send heartbeats more often,
-    /// users ask about every 5 s.
+    /// Returns the maximum time for which a caller leaves an open connection unused. Workers send
+    /// heartbeats more often than that, and users poll about every 5 s.
     pub fn max_connection_idle_time(&self) -> Duration {
         2 * self.heartbeat_deadline
     }
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,30 +1,31 @@
-//! Checks on the values of the platform's settings, beyond their form.
+//! Validates the values of the platform's settings after they have been parsed.
 
 use super::cluster::{Cluster, MachineLimits, State, Workers};
 use super::error::{InvalidField, Violation};
 use super::{Settings, Team};
 use crate::constants;
 
-/// Least size of a value in the state service, KiB: a submission without long lists and a part of
-/// an array's progress take less.
+/// Minimum for the value limit of the state service, in KiB. A submission without long lists and a
+/// progress record of an array take less.
 const MIN_VALUE_KB: f64 = 2.0;
-/// Least number of changes of a transaction: an election, a round or a completion takes no more.
+/// Minimum for the number of changes in a transaction. An election, a round or a completion needs
+/// no more.
 const MIN_TXN_OPS: usize = 4;
 
-/// Most bytes of a node's name.
+/// Maximum length of a node's name, in bytes.
 pub(super) const MAX_NODE_NAME_BYTES: usize = 100;
-/// Most that a duration, a rate or a size may be.
+/// Maximum value of a duration, a rate or a size, in the unit of its field.
 pub(super) const MAX_AMOUNT: f64 = 1e6;
-/// Most CPUs or GPUs of a team.
+/// Maximum number of CPUs or GPUs of a team.
 pub(super) const MAX_TEAM_AMOUNT: f64 = 1e9;
 
 type ValidationResult = Result<(), InvalidField>;
 
-/// Checks all values.
+/// Validates all values.
 ///
 /// # Errors
 ///
-/// The first field whose value is not allowed.
+/// Returns the first field whose value is not allowed.
 pub(super) fn validate(settings: &Settings) -> ValidationResult {
     let cluster = &settings.cluster;
     validate_node_name(&settings.node)?;
@@ -155,8 +156,9 @@
     Ok(())
 }
 
-/// A leader that has not heard of a cancellation must stop renewing workers' leases early enough
-/// for them to expire in the time allowed for it: see [`super::Timing::leader_grace`].
+/// Validates the time allowed for a cancellation. A leader that has not received a cancellation
+/// must stop renewing workers' leases early enough for the leases to expire within that time; see
+/// [`super::Timing::leader_grace`].
 fn validate_cancellation_time(workers: &Workers) -> ValidationResult {
     let (cancel_s, lease_s) = (workers.cancel_s, workers.lease_s);
     if cancel_s < lease_s + constants::MIN_CANCEL_SLACK_S {
--- a/src/settings/warning.rs
+++ b/src/settings/warning.rs
@@ -1,24 +1,25 @@
-//! What operators should know of settings that are allowed.
+//! Warnings about settings that are allowed, but may not work well.
 
 use crate::constants;
 
-/// A setting that is allowed, but asks for more than was measured to work.
+/// A setting that is allowed, but asks for more than the service has been measured with.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SettingsWarning {
-    /// The memory is too small for connections and a small cluster.
+    /// The memory is too small for all connections and a cluster of
+    /// [`constants::MIN_EXPECTED_MACHINES`].
     #[error(
         "cluster.machine_limits.mem_mb: {mem_mb} given; {max_connections} connections and {} machines may take {min_mb}",
         constants::MIN_EXPECTED_MACHINES
     )]
     LowMemory {
-        /// Memory of the process, MB.
+        /// Memory limit of the process, in MB.
         mem_mb: f64,
-        /// Sockets at once.
+        /// Maximum number of open sockets.
         max_connections: usize,
-        /// Memory that connections and a small cluster may take, MB.
+        /// Memory that the connections and such a cluster may take, in MB.
         min_mb: f64,
     },
-    /// The share of a processor core is smaller than any that was measured.
+    /// The share of a processor core is smaller than any with which the service has been measured.
     #[error(
         "cluster.machine_limits.cpu_share: {cpu_share} given; less than {} was not measured",
         constants::MIN_MEASURED_CPU_SHARE
@@ -27,17 +28,17 @@
         /// Share of a processor core.
         cpu_share: f64,
     },
-    /// The teams' limits allow more machines than the memory may be enough for.
+    /// The teams' limits allow more machines than fit into the memory.
     #[error(
         "cluster.machine_limits.mem_mb: carries about {machines} machines; the teams' limits \
          allow {gpus} GPUs, more than that if a machine has fewer than {min_machine_gpus}"
     )]
     ClusterTooLarge {
-        /// Machines for which there is memory.
+        /// Number of machines that fit into the memory.
         machines: usize,
-        /// Sum of the teams' limits of GPUs.
+        /// Sum of the teams' GPU limits.
         gpus: f64,
-        /// GPUs that a machine must have for the memory to be enough.
+        /// Number of GPUs that a machine must have for the cluster to fit into the memory.
         min_machine_gpus: f64,
     },
 }
