--- a/benches/load/cloud.rs
+++ b/benches/load/cloud.rs
@@ -1,4 +1,5 @@
-//! A cloud that rents any number of machines at once, and starts a worker for each.
+//! A simulated cloud that rents machines immediately, up to the fleet's capacity, and starts a
+//! worker for each machine.
 
 use crate::constants::{MACHINE_TYPE, ZONES};
 use crate::fleet::Fleet;
@@ -11,7 +12,7 @@
 use std::sync::Arc;
 use umbervale::wire::{cloud as wire, decode, encode};
 
-/// The routes of the cloud.
+/// Returns the routes of the cloud.
 pub(crate) fn router(fleet: Arc<Fleet>) -> Router {
     Router::new()
         .route("/flavors", get(machine_types))
@@ -39,10 +40,10 @@
 }
 
 async fn rent(State(fleet): State<Arc<Fleet>>, body: Bytes) -> (StatusCode, Vec<u8>) {
-    let Ok(rent) = decode::<wire::RentRequest>(&body) else {
+    let Ok(request) = decode::<wire::RentRequest>(&body) else {
         return (StatusCode::BAD_REQUEST, Vec::new());
     };
-    let machines = fleet.rent(&rent);
+    let machines = fleet.rent(&request);
     if machines.is_empty() {
         let refusal = std::collections::BTreeMap::from([("error", "no capacity")]);
         return (StatusCode::SERVICE_UNAVAILABLE, encode(&refusal));
@@ -65,5 +66,5 @@
 }
 
 async fn list(State(fleet): State<Arc<Fleet>>, Query(query): Query<ListQuery>) -> Vec<u8> {
-    encode(&fleet.list(query.after.as_deref(), query.page))
+    encode(&fleet.list_page(query.after.as_deref(), query.page))
 }
--- a/benches/load/constants.rs
+++ b/benches/load/constants.rs
@@ -1,16 +1,16 @@
-//! What the simulated cloud, its workers and the jobs of the load agree on.
+//! Constants that the simulated cloud, the workers and the jobs of the load share.
 
-/// The one machine type: eight tasks of the load's jobs fill a machine.
+/// Name of the only machine type. Eight tasks of the load's jobs fill a machine.
 pub(crate) const MACHINE_TYPE: &str = "g8";
 
-/// The zones that have it.
+/// Zones in which the machine type is available.
 pub(crate) const ZONES: [&str; 2] = ["east", "west"];
 
-/// Tasks that fill a machine.
+/// Number of tasks that fill a machine.
 pub(crate) const MAX_TASKS_PER_MACHINE: u64 = 8;
 
-/// Prefix of the ids of services, whose tasks run without end.
+/// Id prefix of services, whose tasks run until they are stopped.
 pub(crate) const SERVICE_PREFIX: &str = "run-1";
 
-/// Prefix of the ids of arrays.
+/// Id prefix of arrays, whose tasks complete.
 pub(crate) const ARRAY_PREFIX: &str = "run-2";
--- a/benches/load/fleet.rs
+++ b/benches/load/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet: machines that the cloud rents and lists, each with a worker.
+//! The fleet of simulated machines that the cloud rents and lists. Each machine has a worker.
 
 use crate::machine::Machine;
 use crate::process::NodeAddress;
@@ -11,59 +11,59 @@
 
 /// The size of the fleet.
 pub(crate) struct FleetSize {
-    /// Machines that are rented.
+    /// Number of rented machines.
     pub(crate) machines: usize,
-    /// Tasks that run on them.
+    /// Number of running tasks on these machines.
     pub(crate) running_tasks: usize,
 }
 
 /// All machines with their workers.
 pub(crate) struct Fleet {
     machines: Mutex<BTreeMap<String, Machine>>,
-    /// Wakes workers whose next heartbeat may be due earlier.
-    pub(crate) changed: Notify,
-    /// How many machines the cloud rents at most.
+    /// Wakes the workers after direct commands, since their next heartbeat may be due earlier.
+    pub(crate) direct_commands_received: Notify,
+    /// Maximum number of machines that the cloud rents.
     capacity: AtomicUsize,
-    rented: AtomicU64,
-    /// Heartbeats answered with 200.
+    rented_count: AtomicU64,
+    /// Number of heartbeats that were answered with 200.
     pub(crate) heartbeats: AtomicU64,
     pub(crate) nodes: Vec<NodeAddress>,
-    /// Between two heartbeats without news.
+    /// Time between two heartbeats of a worker without commands or changed tasks.
     pub(crate) heartbeat_interval: Duration,
 }
 
 impl Fleet {
-    /// A fleet without machines and without capacity, whose workers send heartbeats to `nodes`.
+    /// Creates a fleet without machines or capacity, whose workers send heartbeats to `nodes`.
     pub(crate) fn new(heartbeat_interval: Duration, nodes: Vec<NodeAddress>) -> Arc<Fleet> {
         Arc::new(Fleet {
             machines: Mutex::default(),
-            changed: Notify::new(),
+            direct_commands_received: Notify::new(),
             capacity: AtomicUsize::new(0),
-            rented: AtomicU64::new(0),
+            rented_count: AtomicU64::new(0),
             heartbeats: AtomicU64::new(0),
             nodes,
             heartbeat_interval,
         })
     }
 
-    /// All machines by name.
+    /// Locks and returns all machines by name.
     pub(crate) fn machines(&self) -> MutexGuard<'_, BTreeMap<String, Machine>> {
         self.machines
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Heartbeats that were answered with 200 so far.
+    /// Returns the number of heartbeats that have been answered with 200.
     pub(crate) fn heartbeats(&self) -> u64 {
         self.heartbeats.load(Ordering::Relaxed)
     }
 
-    /// Sets how many machines the cloud rents at most.
+    /// Sets the maximum number of machines that the cloud rents.
     pub(crate) fn set_capacity(&self, machines: usize) {
         self.capacity.store(machines, Ordering::Relaxed);
     }
 
-    /// How many machines there are, and how many tasks run on them.
+    /// Returns the number of machines and of their running tasks.
     pub(crate) fn size(&self) -> FleetSize {
         let machines = self.machines();
         FleetSize {
@@ -72,25 +72,26 @@
         }
     }
 
-    /// Rents as many machines as there is capacity for.
-    pub(crate) fn rent(self: &Arc<Self>, rent: &RentRequest) -> Vec<String> {
+    /// Rents the requested machines as far as there is capacity. Returns their names.
+    pub(crate) fn rent(self: &Arc<Self>, request: &RentRequest) -> Vec<String> {
         let mut names = Vec::new();
-        for _ in 0..rent.count {
+        for _ in 0..request.count {
             if self.machines().len() >= self.capacity.load(Ordering::Relaxed) {
                 break;
             }
-            let number = self.rented.fetch_add(1, Ordering::Relaxed);
+            let number = self.rented_count.fetch_add(1, Ordering::Relaxed);
             let name = format!("host-{number:06}");
-            let machine = Machine::new(&rent.zone);
+            let machine = Machine::new(&request.zone);
             self.machines().insert(name.clone(), machine);
-            // The worker ends when its machine is returned; without it the phases time out.
+            // The worker task ends when its machine is returned. If the task fails, a phase times
+            // out.
             tokio::spawn(self.clone().run_worker(name.clone(), number));
             names.push(name);
         }
         names
     }
 
-    /// Returns machines to the cloud; their workers end.
+    /// Returns machines to the cloud, which ends their workers.
     pub(crate) fn return_machines(&self, names: &[String]) {
         let mut machines = self.machines();
         for name in names {
@@ -98,16 +99,18 @@
         }
     }
 
-    /// A page of the machine list.
-    pub(crate) fn list(&self, after: Option<&str>, page_items: usize) -> MachinePage {
+    /// Returns a page of the machine list: the machines that follow `after` in the order of names.
+    pub(crate) fn list_page(&self, after: Option<&str>, page_items: usize) -> MachinePage {
         let machines = self.machines();
-        let mut rest = machines
+        let mut remaining = machines
             .iter()
             .filter(|(name, _)| after.is_none_or(|after| name.as_str() > after));
-        let page = rest.by_ref().take(page_items);
+        let page = remaining.by_ref().take(page_items);
         MachinePage {
-            machines: page.map(|(name, machine)| machine.listed(name)).collect(),
-            has_more: rest.next().is_some(),
+            machines: page
+                .map(|(name, machine)| machine.to_listed(name))
+                .collect(),
+            has_more: remaining.next().is_some(),
         }
     }
 }
--- a/benches/load/jobs.rs
+++ b/benches/load/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of the load, and the user who submits them.
+//! The jobs of the load and the simulated user who submits them.
 
 use crate::network::TIMEOUT;
 use hyper::Method;
@@ -8,48 +8,58 @@
 use umbervale::wire::encode;
 use umbervale::wire::user::{JobKind, JobSubmission, Priority};
 
-/// A job's state as the encoded text of the field that tells it; a field is called "done" as well.
+/// The encoded status field of a job that is done. The key is included because another field is
+/// called "done".
 const STATUS_DONE: &[u8] = b"status\xa4done";
 
 /// A user who submits jobs to a node and queries their states.
 pub(crate) struct User {
     /// The node's address.
     pub(crate) front: SocketAddr,
-    /// Between two queries about a job.
+    /// Time between two queries about a job.
     pub(crate) poll_interval: Duration,
     http: HttpClient,
-    jobs: u64,
+    submitted_jobs: u64,
 }
 
 impl User {
-    /// A user who has submitted nothing.
+    /// Creates a user who has not submitted any jobs.
     pub(crate) fn new(front: SocketAddr, poll_interval: Duration) -> User {
         User {
             front,
             poll_interval,
             http: HttpClient::default(),
-            jobs: 0,
+            submitted_jobs: 0,
         }
     }
 
-    /// Submits a job, and queries its state from then on.
+    /// Submits a job and starts to poll its state.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the job is not accepted.
     pub(crate) async fn submit(&mut self, prefix: &str, kind: JobKind, tasks: u64) {
-        self.jobs += 1;
-        let id = format!("{prefix}{:05}", self.jobs);
-        let body = Some(encode(&job(&id, kind, tasks)));
+        self.submitted_jobs += 1;
+        let id = format!("{prefix}{:05}", self.submitted_jobs);
+        let body = Some(encode(&job_submission(&id, kind, tasks)));
         let path = "/submissions";
-        let answer = self
+        let response = self
             .http
             .call(Method::POST, self.front, path, body, TIMEOUT);
-        let status = answer.await.unwrap().status;
+        let status = response.await.unwrap().status;
         assert!(status < 300, "submission: {status}");
-        // It ends with the job, or with the program.
-        tokio::spawn(poll(self.http.clone(), self.front, id, self.poll_interval));
+        // The task ends when the job is done or the program ends.
+        tokio::spawn(poll_until_done(
+            self.http.clone(),
+            self.front,
+            id,
+            self.poll_interval,
+        ));
     }
 }
 
-/// Queries the state of a job until it is done.
-async fn poll(http: HttpClient, front: SocketAddr, id: String, interval: Duration) {
+/// Polls the state of a job until the job is done.
+async fn poll_until_done(http: HttpClient, front: SocketAddr, id: String, interval: Duration) {
     let path = format!("/submissions/{id}");
     let is_done = |body: &[u8]| {
         let mut windows = body.windows(STATUS_DONE.len());
@@ -57,15 +67,15 @@
     };
     loop {
         tokio::time::sleep(interval).await;
-        let answer = http.call(Method::GET, front, &path, None, TIMEOUT).await;
-        if answer.is_ok_and(|answer| is_done(&answer.body)) {
+        let response = http.call(Method::GET, front, &path, None, TIMEOUT).await;
+        if response.is_ok_and(|response| is_done(&response.body)) {
             return;
         }
     }
 }
 
-/// A job of the load.
-fn job(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
+/// Returns the submission of a job with these parameters.
+fn job_submission(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
     JobSubmission {
         id: id.into(),
         class: "load".into(),
--- a/benches/load/machine.rs
+++ b/benches/load/machine.rs
@@ -1,4 +1,5 @@
-//! A machine and its worker, written from the protocol: it executes commands at once.
+//! A simulated machine and its worker, written from the protocol. The worker executes commands
+//! immediately.
 
 use crate::constants::{MACHINE_TYPE, SERVICE_PREFIX};
 use std::collections::BTreeMap;
@@ -10,7 +11,7 @@
     DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, Task, TaskState, WorkerCommand,
 };
 
-/// How long the tasks of an array run.
+/// Run time of the tasks of an array.
 const RUN_TIME: Duration = Duration::from_secs(40);
 
 /// A machine with its worker.
@@ -20,12 +21,13 @@
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
-    /// A higher fencing token came with direct commands: the worker sends a heartbeat at once.
-    heartbeat_now: bool,
+    /// Whether direct commands with a higher fencing token have arrived, after which the worker
+    /// sends a heartbeat without waiting for the interval.
+    heartbeat_requested: bool,
     tasks: BTreeMap<TaskAttempt, RunningTask>,
 }
 
-/// An attempt to run a task.
+/// One attempt to run a task.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TaskAttempt {
     task: String,
@@ -46,20 +48,20 @@
 }
 
 impl Machine {
-    /// A machine without tasks.
+    /// Creates a machine without tasks.
     pub(crate) fn new(zone: &str) -> Machine {
         Machine {
             zone: zone.to_owned(),
             incarnation: 1,
             sequence: 0,
             fencing_token: 0,
-            heartbeat_now: false,
+            heartbeat_requested: false,
             tasks: BTreeMap::new(),
         }
     }
 
-    /// The machine as the cloud lists it.
-    pub(crate) fn listed(&self, name: &str) -> ListedMachine {
+    /// Returns the machine's entry in the cloud's list.
+    pub(crate) fn to_listed(&self, name: &str) -> ListedMachine {
         ListedMachine {
             id: name.to_owned(),
             machine_type: MACHINE_TYPE.into(),
@@ -70,12 +72,12 @@
         }
     }
 
-    /// How many tasks are on it.
+    /// Returns the number of tasks on the machine.
     pub(crate) fn task_count(&self) -> usize {
         self.tasks.len()
     }
 
-    /// How many of its tasks run.
+    /// Returns the number of running tasks on the machine.
     pub(crate) fn running_tasks(&self) -> usize {
         let tasks = self.tasks.values();
         tasks
@@ -83,13 +85,15 @@
             .count()
     }
 
-    /// Whether a higher fencing token has come directly since this was last asked.
+    /// Reports whether direct commands with a higher fencing token have arrived since the last
+    /// call.
     pub(crate) fn take_heartbeat_request(&mut self) -> bool {
-        std::mem::take(&mut self.heartbeat_now)
+        std::mem::take(&mut self.heartbeat_requested)
     }
 
-    /// Starts tasks that wait for their image, and completes those that have run long enough.
-    pub(crate) fn advance(&mut self) {
+    /// Starts the tasks that are fetching their image, and completes array tasks that have run for
+    /// [`RUN_TIME`].
+    pub(crate) fn advance_tasks(&mut self) {
         let now = Instant::now();
         for (attempt, task) in &mut self.tasks {
             match task.state {
@@ -104,8 +108,8 @@
         }
     }
 
-    /// Executes the commands of a reply; whether there were any.
-    pub(crate) fn accept(&mut self, response: &HeartbeatResponse) -> bool {
+    /// Executes the commands of a response. Returns whether there were any.
+    pub(crate) fn accept_response(&mut self, response: &HeartbeatResponse) -> bool {
         if response.fencing_token < self.fencing_token {
             return false;
         }
@@ -114,11 +118,12 @@
         !response.commands.is_empty()
     }
 
-    /// Executes direct commands, if they are for its incarnation and not from an earlier leader.
-    pub(crate) fn accept_direct(&mut self, direct: &DirectCommands) {
+    /// Executes direct commands if they are for the worker's incarnation and not from an earlier
+    /// leader.
+    pub(crate) fn accept_direct_commands(&mut self, direct: &DirectCommands) {
         self.sequence += 1;
         if direct.fencing_token >= self.fencing_token && direct.incarnation == self.incarnation {
-            self.heartbeat_now |= direct.fencing_token > self.fencing_token;
+            self.heartbeat_requested |= direct.fencing_token > self.fencing_token;
             self.fencing_token = direct.fencing_token;
             self.execute(&direct.commands);
         }
@@ -143,14 +148,14 @@
         }
     }
 
-    /// The next heartbeat of its worker.
+    /// Returns the worker's next heartbeat.
     pub(crate) fn heartbeat(&mut self, name: &str, address: SocketAddr) -> Heartbeat {
         self.sequence += 1;
-        let tasks = self.tasks.iter().map(|(id, it)| Task {
-            task: id.task.clone(),
-            attempt: id.attempt,
-            state: it.state,
-            exit_reason: (it.state == TaskState::Exited).then_some(ExitReason::Completed),
+        let tasks = self.tasks.iter().map(|(attempt, task)| Task {
+            task: attempt.task.clone(),
+            attempt: attempt.attempt,
+            state: task.state,
+            exit_reason: (task.state == TaskState::Exited).then_some(ExitReason::Completed),
             checkpoint_saved: None,
         });
         Heartbeat {
--- a/benches/load/main.rs
+++ b/benches/load/main.rs
@@ -1,11 +1,12 @@
-//! A repeatable load on one node: what its processor time and memory go to.
+//! A reproducible load on one node that shows how the node uses processor time and memory.
 //!
-//! The node is the real program. The state service, the cloud, the workers and the users are simulated
-//! in this process, written from the protocol. Under callgrind the node's instructions, allocations and
-//! system calls are counted, which depend little on what else the machine does; with `--native` its
-//! memory is read instead. See `docs/operating.md` for how to run it.
+//! The node is the real program. The state service, the cloud, the workers and the users are
+//! simulated in this process, written from the protocol. Under callgrind, the node's instructions,
+//! allocations and system calls are counted, which depend little on other load of the machine. With
+//! `--native`, the node's memory is read instead. `docs/operating.md` describes how to run the
+//! program.
 
-// A measurement that can't be made ends the program.
+// The program panics if it can't measure.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 mod cloud;
@@ -26,7 +27,7 @@
 
 use clap::Parser;
 use fleet::Fleet;
-use network::{free_address, serve, wait_until_ready};
+use network::{find_unused_address, serve, wait_until_ready};
 use options::Options;
 use phases::Load;
 use process::{NodeAddress, NodeProcess, Services};
@@ -35,7 +36,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Until the node that started first leads.
+/// Time in which the node that is started first becomes leader.
 const ELECTION_TIME: Duration = Duration::from_secs(2);
 
 #[tokio::main(flavor = "current_thread")]
@@ -44,7 +45,10 @@
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("load");
     let _ = std::fs::remove_dir_all(&directory);
     std::fs::create_dir_all(&directory).unwrap();
-    let nodes = [free_address("n0").await, free_address("n1").await];
+    let nodes = [
+        find_unused_address("n0").await,
+        find_unused_address("n1").await,
+    ];
     let heartbeat_interval = Duration::from_secs(options.heartbeat_interval);
     let fleet = Fleet::new(heartbeat_interval, nodes.to_vec());
     let services = Services {
@@ -52,30 +56,30 @@
         cloud: serve(cloud::router(fleet.clone())).await,
     };
     for node in &nodes {
-        let text = process::settings(node, &nodes, &services, options.heartbeat_interval);
+        let text = process::settings_text(node, &nodes, &services, options.heartbeat_interval);
         std::fs::write(directory.join(format!("{}.toml", node.name)), text).unwrap();
     }
-    // The node that starts first leads.
+    // The node that is started first becomes leader.
     let profiled = !options.native;
     let leader = start_node(&directory, &nodes[0], profiled && !options.follower).await;
     tokio::time::sleep(ELECTION_TIME).await;
     let follower = start_node(&directory, &nodes[1], profiled && options.follower).await;
-    let (measured, other, front) = if options.follower {
+    let (measured, other_node, front) = if options.follower {
         (follower, leader, nodes[1].front)
     } else {
         (leader, follower, nodes[0].front)
     };
     Load::new(options, fleet, measured, front)
-        .measure(other)
+        .run_phases(other_node)
         .await;
 }
 
-/// Starts a node, under callgrind if it is to be profiled, and waits until it is ready.
+/// Starts a node, under callgrind if `profiled`, and waits until the node is ready.
 async fn start_node(directory: &Path, node: &NodeAddress, profiled: bool) -> NodeProcess {
-    let settings = directory.join(format!("{}.toml", node.name));
+    let settings_file = directory.join(format!("{}.toml", node.name));
     let log = directory.join(format!("{}.log", node.name));
     let profiles = profiled.then(|| directory.join("callgrind"));
-    let process = NodeProcess::start(&settings, &log, profiles).unwrap();
+    let process = NodeProcess::start(&settings_file, &log, profiles).unwrap();
     wait_until_ready(node.front).await;
     process
 }
--- a/benches/load/network.rs
+++ b/benches/load/network.rs
@@ -1,4 +1,4 @@
-//! Loopback servers, and waiting.
+//! Servers on the loopback interface, and helpers that wait for a condition.
 
 use crate::process::NodeAddress;
 use axum::Router;
@@ -7,10 +7,10 @@
 use tokio::net::TcpListener;
 use umbervale::http::HttpClient;
 
-/// How long any call or wait may take under callgrind.
+/// Timeout of every call and wait, long enough for a node under callgrind.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(300);
 
-/// Serves the routes on a loopback port of their own, to the end of the program.
+/// Serves the routes on an unused loopback port until the program ends.
 pub(crate) async fn serve(router: Router) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -18,8 +18,8 @@
     address
 }
 
-/// Addresses that are free now.
-pub(crate) async fn free_address(name: &str) -> NodeAddress {
+/// Returns addresses with ports that are currently unused.
+pub(crate) async fn find_unused_address(name: &str) -> NodeAddress {
     let front = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let back = TcpListener::bind("127.0.0.1:0").await.unwrap();
     NodeAddress {
@@ -29,25 +29,35 @@
     }
 }
 
-/// Waits until the condition holds; fails after [`TIMEOUT`].
+/// Waits until the condition holds.
+///
+/// # Panics
+///
+/// Panics after [`TIMEOUT`].
 pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
     let wait = async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     };
-    tokio::time::timeout(TIMEOUT, wait).await.expect("in time");
+    tokio::time::timeout(TIMEOUT, wait)
+        .await
+        .expect("condition holds before the timeout");
 }
 
-/// Waits until a node is ready; fails after [`TIMEOUT`].
+/// Waits until a node is ready.
+///
+/// # Panics
+///
+/// Panics after [`TIMEOUT`].
 pub(crate) async fn wait_until_ready(front: SocketAddr) {
     let http = HttpClient::default();
     let ready = async {
         loop {
-            let answer = http
+            let response = http
                 .call(hyper::Method::GET, front, "/ready", None, TIMEOUT)
                 .await;
-            if answer.is_ok_and(|answer| answer.status == 200) {
+            if response.is_ok_and(|response| response.status == 200) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -55,5 +65,5 @@
     };
     tokio::time::timeout(TIMEOUT, ready)
         .await
-        .expect("ready in time");
+        .expect("node is ready before the timeout");
 }
--- a/benches/load/phases.rs
+++ b/benches/load/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of the load.
+//! Runs the phases of the load.
 
 use crate::constants::{ARRAY_PREFIX, MAX_TASKS_PER_MACHINE, SERVICE_PREFIX};
 use crate::fleet::Fleet;
@@ -15,9 +15,9 @@
 use tokio::net::TcpStream;
 use umbervale::wire::user::JobKind;
 
-/// Until submitted jobs have gone through the scheduler once.
+/// Time in which a scheduling pass considers the submitted jobs.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// This part of the machines is left for the arrays of the busy phase.
+/// One in this many machines is reserved for the arrays of the busy phase.
 const ARRAY_MACHINES_DIVISOR: usize = 8;
 
 /// The load and the measured node.
@@ -26,12 +26,12 @@
     fleet: Arc<Fleet>,
     user: User,
     measured: NodeProcess,
-    /// Heartbeats answered before the present phase.
+    /// Number of heartbeats that were answered before the current phase.
     heartbeats_before: u64,
 }
 
 impl Load {
-    /// A load on the measured node at that address.
+    /// Creates a load on the measured node, whose address for users and workers is `front`.
     pub(crate) fn new(
         options: Options,
         fleet: Arc<Fleet>,
@@ -48,58 +48,58 @@
         }
     }
 
-    /// Plays all phases; the other node ends after the busy one.
-    pub(crate) async fn measure(&mut self, mut other: NodeProcess) {
+    /// Runs all phases. The other node is killed after the busy phase.
+    pub(crate) async fn run_phases(&mut self, mut other_node: NodeProcess) {
         self.end_phase("start");
-        self.pass_time().await;
+        self.wait_for_phase_length().await;
         self.end_phase("idle");
-        self.hold_connections().await;
-        self.submit_waiting_jobs().await;
+        self.run_connections_phase().await;
+        self.run_waiting_jobs_phase().await;
         self.fill_machines().await;
         self.end_phase("fill");
-        self.pass_time().await;
+        self.wait_for_phase_length().await;
         self.end_phase("reports");
         self.submit_arrays().await;
         self.end_phase("busy");
-        other.kill();
+        other_node.kill();
         if self.options.follower {
             self.wait_for_failover().await;
             self.end_phase("take-over");
-            self.pass_time().await;
+            self.wait_for_phase_length().await;
             self.end_phase("after");
         }
     }
 
-    async fn pass_time(&self) {
+    async fn wait_for_phase_length(&self) {
         tokio::time::sleep(Duration::from_secs(self.options.seconds)).await;
     }
 
-    /// Connections that stay open, in a phase of their own.
-    async fn hold_connections(&mut self) {
-        let open = self.open_connections().await;
-        if !open.is_empty() {
+    /// Runs the phase in which idle connections stay open.
+    async fn run_connections_phase(&mut self) {
+        let connections = self.open_connections().await;
+        if !connections.is_empty() {
             self.end_phase("connections");
         }
     }
 
-    /// Connections on which a request was answered and that stay open.
+    /// Opens connections and sends one request on each of them.
     async fn open_connections(&self) -> Vec<TcpStream> {
-        let mut open = Vec::new();
+        let mut connections = Vec::new();
         for _ in 0..self.options.connections {
             let mut stream = TcpStream::connect(self.user.front).await.unwrap();
             stream
                 .write_all(b"GET /ready HTTP/1.1\r\nhost: n\r\n\r\n")
                 .await
                 .unwrap();
-            let mut answer = [0; 1024];
-            assert!(stream.read(&mut answer).await.unwrap() > 0);
-            open.push(stream);
+            let mut response = [0; 1024];
+            assert!(stream.read(&mut response).await.unwrap() > 0);
+            connections.push(stream);
         }
-        open
+        connections
     }
 
-    /// Jobs that wait, in a phase of their own: the cloud has no machine yet.
-    async fn submit_waiting_jobs(&mut self) {
+    /// Runs the phase in which jobs wait, since the cloud has no machines yet.
+    async fn run_waiting_jobs_phase(&mut self) {
         for _ in 0..self.options.waiting {
             self.submit_array().await;
         }
@@ -109,11 +109,11 @@
         }
     }
 
-    /// Services fill most machines.
+    /// Submits services that fill most machines, and waits until their tasks run.
     async fn fill_machines(&mut self) {
         self.fleet.set_capacity(self.options.machines);
-        let for_arrays = self.options.machines / ARRAY_MACHINES_DIVISOR;
-        let machines = (self.options.machines - for_arrays) as u64;
+        let array_machines = self.options.machines / ARRAY_MACHINES_DIVISOR;
+        let machines = (self.options.machines - array_machines) as u64;
         let job_tasks = self.options.job_tasks;
         let services = machines * MAX_TASKS_PER_MACHINE / job_tasks;
         for _ in 0..services {
@@ -125,7 +125,7 @@
         wait_until(|| self.fleet.size().running_tasks >= tasks).await;
     }
 
-    /// A stream of arrays for the length of a phase.
+    /// Submits arrays at a constant rate for the length of a phase.
     async fn submit_arrays(&mut self) {
         for _ in 0..self.options.seconds {
             for _ in 0..self.options.submissions {
@@ -140,24 +140,24 @@
         self.user.submit(ARRAY_PREFIX, JobKind::Array, tasks).await;
     }
 
-    /// Until each worker has sent two heartbeats, on average, to the new leader.
+    /// Waits until the new leader has answered two heartbeats per worker on average.
     async fn wait_for_failover(&self) {
-        let enough = self.fleet.heartbeats() + 2 * self.options.machines as u64;
-        wait_until(|| self.fleet.heartbeats() >= enough).await;
+        let target = self.fleet.heartbeats() + 2 * self.options.machines as u64;
+        wait_until(|| self.fleet.heartbeats() >= target).await;
     }
 
-    /// Prints what the phase cost, and begins the next one.
+    /// Prints the results of the phase and begins the next one.
     fn end_phase(&mut self, phase: &str) {
-        let answered = self.fleet.heartbeats();
-        let heartbeats = answered - self.heartbeats_before;
-        self.heartbeats_before = answered;
+        let heartbeats_now = self.fleet.heartbeats();
+        let heartbeats = heartbeats_now - self.heartbeats_before;
+        self.heartbeats_before = heartbeats_now;
         report::print_phase(phase, heartbeats, &self.fleet.size());
         if self.options.native
             && let Some(memory) = self.measured.memory()
         {
             report::print_memory(&memory);
         }
-        if let Some(file) = self.measured.dump(phase) {
+        if let Some(file) = self.measured.dump_profile(phase) {
             let profile = Profile::read(&file).unwrap();
             report::print_profile(&profile, heartbeats, self.options.functions);
         }
--- a/benches/load/process.rs
+++ b/benches/load/process.rs
@@ -1,11 +1,12 @@
-//! Node processes: one is measured, under callgrind or by the memory that the system reports.
+//! Node processes. One of them is measured: under callgrind, or by the memory that the operating
+//! system reports.
 
 use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Where a node is reached, and where its files are.
+/// Name and addresses of a node.
 #[derive(Debug, Clone)]
 pub(crate) struct NodeAddress {
     pub(crate) name: String,
@@ -13,7 +14,7 @@
     pub(crate) back: SocketAddr,
 }
 
-/// Where the services of a cluster are reached.
+/// Addresses of the services of a cluster.
 pub(crate) struct Services {
     /// The state service.
     pub(crate) state: SocketAddr,
@@ -23,58 +24,67 @@
 
 /// Memory of a process, in MB.
 pub(crate) struct Memory {
-    /// What it holds now.
+    /// Current resident memory.
     pub(crate) now_mb: f64,
-    /// What it has held at most.
+    /// Peak resident memory.
     pub(crate) max_mb: f64,
 }
 
-/// A running node. It ends when this is dropped.
+/// A running node. The process is killed when this value is dropped.
 pub(crate) struct NodeProcess {
     child: Child,
-    /// Where callgrind writes its profiles, if the node runs under it.
-    profiles: Option<PathBuf>,
+    /// Path prefix of callgrind's profiles, if the node runs under callgrind.
+    profile_path: Option<PathBuf>,
 }
 
 impl NodeProcess {
-    /// Starts the program: natively, or under callgrind if it is to write profiles.
+    /// Starts the program, under callgrind if a path for profiles is given.
+    ///
+    /// # Errors
+    ///
+    /// Returns the I/O error if the log can't be created or the program can't be started.
     pub(crate) fn start(
-        settings: &Path,
+        settings_file: &Path,
         log: &Path,
-        profiles: Option<PathBuf>,
+        profile_path: Option<PathBuf>,
     ) -> std::io::Result<NodeProcess> {
         let program = env!("CARGO_BIN_EXE_umbervale");
-        let mut command = match &profiles {
-            Some(profiles) => callgrind(profiles, program),
+        let mut command = match &profile_path {
+            Some(profile_path) => callgrind_command(profile_path, program),
             None => Command::new(program),
         };
         let child = command
             .arg("serve")
             .arg("--config")
-            .arg(settings)
+            .arg(settings_file)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(fs::File::create(log)?)
             .spawn()?;
-        Ok(NodeProcess { child, profiles })
+        Ok(NodeProcess {
+            child,
+            profile_path,
+        })
     }
 
-    /// Writes what was collected since the last call, and begins anew; the file that has it.
-    pub(crate) fn dump(&self, phase: &str) -> Option<PathBuf> {
-        let profiles = self.profiles.as_ref()?;
-        let control = Command::new("callgrind_control")
+    /// Makes callgrind write the profile since the last call and reset its counters. Returns the
+    /// file with the profile, or `None` if the node does not run under callgrind or the dump fails.
+    pub(crate) fn dump_profile(&self, phase: &str) -> Option<PathBuf> {
+        let profile_path = self.profile_path.as_ref()?;
+        let dump_status = Command::new("callgrind_control")
             .arg(format!("--dump={phase}"))
             .arg(self.child.id().to_string())
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .status();
-        control.ok().filter(|status| status.success())?;
+        dump_status.ok().filter(|status| status.success())?;
         let numbers = 1..;
-        let files = numbers.map(|number| PathBuf::from(format!("{}.{number}", profiles.display())));
+        let files =
+            numbers.map(|number| PathBuf::from(format!("{}.{number}", profile_path.display())));
         files.take_while(|file| file.exists()).last()
     }
 
-    /// The memory of the process.
+    /// Returns the memory of the process, or `None` if it can't be read.
     pub(crate) fn memory(&self) -> Option<Memory> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let field = |name: &str| {
@@ -88,9 +98,9 @@
         })
     }
 
-    /// Ends the process.
+    /// Kills the process and waits for its end.
     pub(crate) fn kill(&mut self) {
-        // It may have ended by itself.
+        // The process may already have ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -102,12 +112,12 @@
     }
 }
 
-/// The program under callgrind.
-fn callgrind(profiles: &Path, program: &str) -> Command {
+/// Returns the command that runs the program under callgrind.
+fn callgrind_command(profile_path: &Path, program: &str) -> Command {
     let mut command = Command::new("valgrind");
     command
         .arg("--tool=callgrind")
-        .arg(format!("--callgrind-out-file={}", profiles.display()))
+        .arg(format!("--callgrind-out-file={}", profile_path.display()))
         .arg("--compress-strings=no")
         .arg("--compress-pos=no")
         .arg("--collect-systime=no")
@@ -120,19 +130,19 @@
     format!("[[peers]]\nnode_name = \"{name}\"\nsite = \"west\"\naddr = \"{back}\"\n")
 }
 
-fn peers_settings(node: &NodeAddress, nodes: &[NodeAddress]) -> String {
+fn all_peer_settings(node: &NodeAddress, nodes: &[NodeAddress]) -> String {
     let peers = nodes.iter().filter(|peer| peer.name != node.name);
     peers.map(peer_settings).collect()
 }
 
-/// The settings file of a node.
-pub(crate) fn settings(
+/// Returns the text of a node's settings file.
+pub(crate) fn settings_text(
     node: &NodeAddress,
     nodes: &[NodeAddress],
     services: &Services,
     report_s: u64,
 ) -> String {
-    let peers = peers_settings(node, nodes);
+    let peers = all_peer_settings(node, nodes);
     let NodeAddress { name, front, back } = node;
     let Services { state, cloud } = services;
     format!(
--- a/benches/load/state_service.rs
+++ b/benches/load/state_service.rs
@@ -1,5 +1,5 @@
-//! A state service, written from the protocol: keys, conditional commits, leases that never end,
-//! and watches.
+//! A simulated state service, written from the protocol: keys, conditional commits, leases that
+//! never expire, and watches.
 
 use crate::records::{ListQuery, Records, Reply, WatchQuery};
 use axum::Router;
@@ -12,14 +12,14 @@
 use tokio::sync::Notify;
 use umbervale::wire::{decode, encode};
 
-/// The service's data, shared by its handlers.
+/// The data of the service, which its handlers share.
 #[derive(Default)]
 pub(crate) struct StateService {
     records: Mutex<Records>,
     changed: Notify,
 }
 
-type Shared = State<Arc<StateService>>;
+type SharedService = State<Arc<StateService>>;
 
 impl StateService {
     fn records(&self) -> MutexGuard<'_, Records> {
@@ -28,31 +28,31 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// The routes of the service.
+    /// Returns the routes of the service.
     pub(crate) fn router(self: Arc<Self>) -> Router {
         Router::new()
             .route("/store", get(list))
             .route("/store/{*key}", get(read_one))
             .route("/commit", post(commit))
-            .route("/holds", post(new_lease))
+            .route("/holds", post(grant_lease))
             .route(
                 "/holds/{id}/touch",
                 post(|| std::future::ready(StatusCode::OK)),
             )
-            .route("/changes", get(changes))
+            .route("/changes", get(watch))
             .with_state(self)
     }
 }
 
-async fn read_one(State(service): Shared, Path(key): Path<String>) -> Reply {
+async fn read_one(State(service): SharedService, Path(key): Path<String>) -> Reply {
     service.records().read(&key)
 }
 
-async fn list(State(service): Shared, Query(query): Query<ListQuery>) -> Vec<u8> {
+async fn list(State(service): SharedService, Query(query): Query<ListQuery>) -> Vec<u8> {
     encode(&service.records().list(&query))
 }
 
-async fn commit(State(service): Shared, body: Bytes) -> Reply {
+async fn commit(State(service): SharedService, body: Bytes) -> Reply {
     let Ok(transaction) = decode(&body) else {
         return (StatusCode::BAD_REQUEST, Vec::new());
     };
@@ -63,18 +63,18 @@
     reply
 }
 
-async fn new_lease(State(service): Shared) -> Vec<u8> {
+async fn grant_lease(State(service): SharedService) -> Vec<u8> {
     encode(&service.records().new_lease())
 }
 
-async fn changes(State(service): Shared, Query(query): Query<WatchQuery>) -> Vec<u8> {
-    let find = || service.records().changes_after(&query.under, query.after);
+async fn watch(State(service): SharedService, Query(query): Query<WatchQuery>) -> Vec<u8> {
+    let find_changes = || service.records().changes_after(&query.under, query.after);
     let deadline = tokio::time::Instant::now() + Duration::from_millis(query.block_ms);
     loop {
         let changed = service.changed.notified();
-        let found = find();
-        if !found.events.is_empty() || tokio::time::timeout_at(deadline, changed).await.is_err() {
-            return encode(&found);
+        let changes = find_changes();
+        if !changes.events.is_empty() || tokio::time::timeout_at(deadline, changed).await.is_err() {
+            return encode(&changes);
         }
     }
 }
--- a/benches/load/workers.rs
+++ b/benches/load/workers.rs
@@ -1,4 +1,5 @@
-//! Workers, written from the protocol: each sends heartbeats to one node on a connection of its own.
+//! Simulated workers, written from the protocol. Each worker sends heartbeats to one node on a
+//! separate connection.
 
 use crate::fleet::Fleet;
 use crate::machine::Machine;
@@ -16,18 +17,18 @@
 use umbervale::wire::worker::{DirectCommands, Heartbeat, HeartbeatResponse, LeaderRedirect};
 use umbervale::wire::{decode, encode};
 
-/// Least time between two heartbeats of a worker.
+/// Minimum time between two heartbeats of a worker.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a worker waits for a reply: longer than the protocol's 4 s, since a node under callgrind
-/// takes some fifty times as long.
+/// Time for which a worker waits for a response. It is longer than the protocol's 4 s, since a node
+/// under callgrind takes about fifty times as long.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Over how many phases of the interval the heartbeats of a fleet are spread.
-const HEARTBEAT_PHASES: u64 = 97;
+/// Number of offsets within the heartbeat interval over which the heartbeats of a fleet are spread.
+const HEARTBEAT_OFFSETS: u64 = 97;
 
 impl Fleet {
-    /// Listens for direct commands to a machine, on a port of its own.
+    /// Listens for direct commands to a machine on an unused port.
     async fn listen(self: &Arc<Self>, name: &str) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -39,39 +40,41 @@
             std::future::ready(StatusCode::OK)
         };
         let router = Router::new().route("/commands", post(execute));
-        // It ends with the program: a returned machine gets no more commands.
+        // The server runs until the program ends; a returned machine receives no more commands.
         tokio::spawn(async move { axum::serve(listener, router).await });
         Ok(address)
     }
 
-    /// Executes commands that were sent directly.
+    /// Executes commands that were sent directly to a machine.
     fn accept_direct_commands(&self, name: &str, direct: &DirectCommands) {
         if let Some(machine) = self.machines().get_mut(name) {
-            machine.accept_direct(direct);
+            machine.accept_direct_commands(direct);
         }
-        self.changed.notify_waiters();
+        self.direct_commands_received.notify_waiters();
     }
 
-    /// Whether a higher fencing token has come directly since the last heartbeat.
-    fn takes_heartbeat_request(&self, name: &str) -> bool {
+    /// Reports whether direct commands with a higher fencing token have arrived since the last
+    /// call.
+    fn take_heartbeat_request(&self, name: &str) -> bool {
         let mut machines = self.machines();
         let machine = machines.get_mut(name);
         machine.is_some_and(Machine::take_heartbeat_request)
     }
 
-    /// Runs one worker, until its machine is returned.
+    /// Runs a worker until its machine is returned.
     pub(crate) async fn run_worker(self: Arc<Self>, name: String, number: u64) {
         let http = HttpClient::with_max_idle_connections(1);
         let Ok(address) = self.listen(&name).await else {
             return;
         };
         let mut node = number as usize % self.nodes.len();
-        // Heartbeats of a fleet that was rented at once are spread evenly, without chance.
-        let phase = self
+        // Spreads the heartbeats of machines that were rented together, evenly and without
+        // randomness.
+        let offset = self
             .heartbeat_interval
-            .mul_f64((number % HEARTBEAT_PHASES) as f64 / HEARTBEAT_PHASES as f64);
+            .mul_f64((number % HEARTBEAT_OFFSETS) as f64 / HEARTBEAT_OFFSETS as f64);
         let mut last_tasks = 0;
-        tokio::time::sleep(phase).await;
+        tokio::time::sleep(offset).await;
         loop {
             let sent_at = Instant::now();
             let Some(heartbeat) = self.next_heartbeat(&name, address) else {
@@ -79,7 +82,7 @@
             };
             let body = Some(encode(&heartbeat));
             let front = self.nodes[node].front;
-            let answer = http
+            let response = http
                 .call(
                     hyper::Method::POST,
                     front,
@@ -88,55 +91,57 @@
                     REPLY_TIMEOUT,
                 )
                 .await;
-            if let Ok(answer) = &answer
-                && answer.status == 200
+            if let Ok(response) = &response
+                && response.status == 200
             {
                 self.heartbeats.fetch_add(1, Ordering::Relaxed);
-                let commanded = self.accept_response(&name, answer);
-                last_tasks = self.pause(&name, sent_at, commanded, last_tasks).await;
+                let received_commands = self.accept_response(&name, response);
+                last_tasks = self
+                    .wait_for_next_heartbeat(&name, sent_at, received_commands, last_tasks)
+                    .await;
                 continue;
             }
             tokio::time::sleep(MIN_HEARTBEAT_INTERVAL).await;
-            node = self.other_node(node, answer.ok().as_ref());
+            node = self.next_node(node, response.ok().as_ref());
         }
     }
 
-    /// The worker's next heartbeat; none if its machine was returned.
+    /// Returns the worker's next heartbeat, or `None` if its machine was returned.
     fn next_heartbeat(&self, name: &str, address: SocketAddr) -> Option<Heartbeat> {
         let mut machines = self.machines();
         let machine = machines.get_mut(name)?;
-        machine.advance();
+        machine.advance_tasks();
         Some(machine.heartbeat(name, address))
     }
 
-    /// Executes the commands of a reply; whether there were any.
-    fn accept_response(&self, name: &str, answer: &HttpResponse) -> bool {
-        let Ok(response) = decode::<HeartbeatResponse>(&answer.body) else {
+    /// Executes the commands of a response. Returns whether there were any.
+    fn accept_response(&self, name: &str, response: &HttpResponse) -> bool {
+        let Ok(heartbeat_response) = decode::<HeartbeatResponse>(&response.body) else {
             return false;
         };
         let mut machines = self.machines();
         let machine = machines.get_mut(name);
-        machine.is_some_and(|machine| machine.accept(&response))
+        machine.is_some_and(|machine| machine.accept_response(&heartbeat_response))
     }
 
-    /// The node that a redirect names, or the next one.
-    fn other_node(&self, node: usize, answer: Option<&HttpResponse>) -> usize {
-        let redirect = answer.and_then(|answer| decode::<LeaderRedirect>(&answer.body).ok());
+    /// Returns the index of the node that a redirect names, or else of the next node.
+    fn next_node(&self, node: usize, response: Option<&HttpResponse>) -> usize {
+        let redirect = response.and_then(|response| decode::<LeaderRedirect>(&response.body).ok());
         let leader = redirect.and_then(|redirect| redirect.leader);
-        let known = self
+        let leader_index = self
             .nodes
             .iter()
             .position(|node| Some(&node.name) == leader.as_ref());
-        known.unwrap_or((node + 1) % self.nodes.len())
+        leader_index.unwrap_or((node + 1) % self.nodes.len())
     }
 
-    /// Waits until the next heartbeat is due: soon after commands or a change of the tasks, else after
-    /// the usual time. The number of tasks now.
-    async fn pause(
+    /// Waits until the next heartbeat is due: the minimum interval after commands or a change in
+    /// the number of tasks, and the usual interval otherwise. Returns the current number of tasks.
+    async fn wait_for_next_heartbeat(
         &self,
         name: &str,
         sent_at: Instant,
-        commanded: bool,
+        received_commands: bool,
         last_tasks: usize,
     ) -> usize {
         let tasks = {
@@ -146,17 +151,17 @@
             };
             machine.task_count()
         };
-        let due = match commanded || tasks != last_tasks {
+        let due_at = match received_commands || tasks != last_tasks {
             true => sent_at + MIN_HEARTBEAT_INTERVAL,
             false => sent_at + self.heartbeat_interval,
         };
-        while Instant::now() < due {
-            let requested = self.changed.notified();
-            if self.takes_heartbeat_request(name) {
+        while Instant::now() < due_at {
+            let notified = self.direct_commands_received.notified();
+            if self.take_heartbeat_request(name) {
                 sleep_until(sent_at + MIN_HEARTBEAT_INTERVAL).await;
                 break;
             }
-            let _ = tokio::time::timeout_at(due, requested).await;
+            let _ = tokio::time::timeout_at(due_at, notified).await;
         }
         tasks
     }
