--- a/src/constants.rs
+++ b/src/constants.rs
@@ -76,28 +76,28 @@
 
 // Memory
 
-/// One in this many bytes of the memory limit is available for request bodies at any time. Together
-/// with the decoded values, which take three times as much, bodies use at most a fifth of the
-/// memory.
+/// One in this many bytes of the memory limit is available for request bodies at any time. Bodies
+/// and their decoded values together take three times as much: at most a fifth of the memory.
 pub const BODY_MEMORY_DIVISOR: usize = 16;
 /// One in this many bytes of the memory for request bodies is available for users. The rest is
 /// reserved for heartbeats, without which workers stop their tasks.
 pub const USER_BODY_MEMORY_DIVISOR: usize = 2;
 /// Memory of the process after its start, in bytes.
 pub const PROCESS_BASE_BYTES: usize = 5_200_000;
-/// Memory of an open connection, including [`CONNECTION_BUFFER_BYTES`], in bytes: 11,200 bytes and
+/// Memory of an open connection, including [`CONNECTION_BUFFER_BYTES`], in bytes: 11,200 bytes plus
 /// a margin.
 pub const BYTES_PER_CONNECTION: usize = 11_500;
 /// Memory of a machine with its snapshot, eight tasks and their share of jobs and rounds, without
-/// its connection, in bytes: 10,000 bytes, as with 1,000 machines, and a margin.
+/// its connection, in bytes: 10,000 bytes at 1,000 machines plus a margin.
 pub const BYTES_PER_MACHINE: usize = 10_500;
 /// Memory of a cached final job state, in bytes.
 pub const BYTES_PER_FINAL_STATE: usize = 250;
-/// Memory of a request body and its decoded value, as a multiple of the body's encoded size: a task
-/// that takes 45 bytes in a heartbeat takes 90 bytes when decoded.
+/// Memory of a request body together with its decoded value, as a multiple of the body's encoded
+/// size: a task that takes 45 bytes in a heartbeat takes another 90 bytes when decoded.
 pub const DECODED_BODY_MEMORY_FACTOR: usize = 3;
-/// Memory of a response of the state service and its decoded value, as a multiple of the encoded
-/// size. The value of a record is decoded into a tree with a node for each key and each value.
+/// Memory of a response of the state service together with its decoded value, as a multiple of the
+/// encoded size. The value of a record is decoded into a tree with a node for each key and each
+/// value.
 pub const DECODED_RESPONSE_MEMORY_FACTOR: usize = 7;
 /// Maximum number of large responses that are decoded concurrently: one of a watch and one page of
 /// a list. Responses to users' reads contain one record each.
@@ -140,8 +140,8 @@
 pub const MAX_IDLE_CONNECTIONS: usize = 8;
 /// Time after which an idle connection is closed.
 pub const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
-/// Timeout of a call to the state service. Responses usually take 10 ms and occasionally a few
-/// hundred.
+/// Timeout of a call to the state service. A response usually takes 10 ms and occasionally a few
+/// hundred milliseconds.
 pub const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time that is added to the waiting time of a watch to get the timeout of its call.
 pub const WATCH_SLACK: Duration = Duration::from_millis(2000);
@@ -208,7 +208,7 @@
 pub const CLOCK_DRIFT_PPM: u64 = 1000;
 /// Time between two passes over the open rounds and the fleet.
 pub const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(1000);
-/// Time after the start of a node after which the node serves users' queries even without the
+/// Time from the start of a node after which the node serves users' queries even without the
 /// machine types. Usually the first call returns the machine types; until then, other nodes can
 /// serve users better.
 pub const MACHINE_TYPES_READY_TIMEOUT: Duration = Duration::from_millis(10_000);
@@ -221,7 +221,7 @@
 /// to be replaced within a few seconds, and long enough for several renewals, each of which may
 /// take a few hundred milliseconds.
 pub const LEASE_TTL: Duration = Duration::from_millis(4000);
-/// Time between two renewals of the leader's lease. A failed renewal can be retried three times
+/// Time between two renewals of the leader's lease. After a failed renewal, three more are due
 /// before the lease expires.
 pub const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
 /// Time for which a leader that stepped down because it received no heartbeats does not campaign
@@ -249,7 +249,7 @@
 /// smallest value limit that the settings may give.
 pub const PROGRESS_RECORD_TASKS: u32 = 4096;
 /// Number of tasks that a progress record covered in the version before dependencies between jobs.
-/// It is needed for upgrades, as long as an array that was started by that version is left.
+/// It is needed for upgrades, as long as arrays exist that were started by that version.
 pub const LEGACY_PROGRESS_RECORD_TASKS: u32 = 8192;
 /// Minimum time between two writes of arrays' partial progress and of removals of records. Ends of
 /// jobs are written without this delay.
@@ -346,7 +346,8 @@
 /// Time for which a worker waits for the response to its heartbeat, as defined by the protocol.
 pub const WORKER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Maximum time for which the response to a heartbeat is held back until a round is written. A
-/// commit usually takes about 10 ms and occasionally a few hundred; a worker waits 4 s.
+/// commit usually takes about 10 ms and occasionally a few hundred milliseconds; a worker waits 4
+/// s.
 pub const HEARTBEAT_HOLD_TIMEOUT: Duration = Duration::from_millis(400);
 /// Number of bits of a fencing token below the leader's term. This part is incremented at most
 /// twice per worker lease, so it lasts longer than any process runs.
@@ -408,9 +409,9 @@
 pub const MIN_BOOT_TIMEOUT: Duration = Duration::from_millis(45_000);
 /// Minimum time for which the cloud charges a machine. An earlier return saves nothing.
 pub const MIN_CHARGED_TIME: Duration = Duration::from_millis(60_000);
-/// A new leader rents machines as soon as at most one in this many machines that should be up has
-/// not sent a heartbeat yet. The resources of so few machines matter little, and usually fewer than
-/// these are dead.
+/// At most one in this many of the machines that should be up may be without a first heartbeat when
+/// a new leader starts to rent machines. The resources of so few machines matter little, and the
+/// number of dead machines is usually lower.
 pub const UNHEARD_MACHINES_DIVISOR: usize = 4;
 /// Maximum number of job arrivals that are remembered, at about a hundred bytes each. A burst at
 /// 700 machines brings 600 arrivals within [`ARRIVAL_WINDOW`]. The oldest arrivals are removed
