--- a/benches/load/workers.rs
+++ b/benches/load/workers.rs
@@ -95,9 +95,9 @@
                 && response.status == 200
             {
                 self.heartbeats.fetch_add(1, Ordering::Relaxed);
-                let received_commands = self.accept_response(&name, response);
+                let has_commands = self.accept_response(&name, response);
                 last_tasks = self
-                    .wait_for_next_heartbeat(&name, sent_at, received_commands, last_tasks)
+                    .wait_until_due(&name, sent_at, has_commands, last_tasks)
                     .await;
                 continue;
             }
@@ -137,11 +137,11 @@
 
     /// Waits until the next heartbeat is due: the minimum interval after commands or a change in
     /// the number of tasks, and the usual interval otherwise. Returns the current number of tasks.
-    async fn wait_for_next_heartbeat(
+    async fn wait_until_due(
         &self,
         name: &str,
         sent_at: Instant,
-        received_commands: bool,
+        has_commands: bool,
         last_tasks: usize,
     ) -> usize {
         let tasks = {
@@ -151,7 +151,7 @@
             };
             machine.task_count()
         };
-        let due_at = match received_commands || tasks != last_tasks {
+        let due_at = match has_commands || tasks != last_tasks {
             true => sent_at + MIN_HEARTBEAT_INTERVAL,
             false => sent_at + self.heartbeat_interval,
         };
