--- a/benches/load/workers.rs
+++ b/benches/load/workers.rs
@@ -96,9 +96,7 @@
             {
                 self.heartbeats.fetch_add(1, Ordering::Relaxed);
                 let has_commands = self.accept_response(&name, response);
-                last_tasks = self
-                    .wait_until_due(&name, sent_at, has_commands, last_tasks)
-                    .await;
+                last_tasks = self.pause(&name, sent_at, has_commands, last_tasks).await;
                 continue;
             }
             tokio::time::sleep(MIN_HEARTBEAT_INTERVAL).await;
@@ -137,7 +135,7 @@
 
     /// Waits until the next heartbeat is due: the minimum interval after commands or a change in
     /// the number of tasks, and the usual interval otherwise. Returns the current number of tasks.
-    async fn wait_until_due(
+    async fn pause(
         &self,
         name: &str,
         sent_at: Instant,
