--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -44,8 +44,8 @@
 
 pub use messages::{CallId, Command, Effect, EngineStatus, Reply, ReplyId};
 pub use records::{
-    FinalRecord, JobRecord, final_key, final_value, job_key, job_value, json_size, read_final,
-    read_job,
+    FinalRecord, JobRecord, decode_final, decode_job, final_key, final_value, job_key, job_value,
+    json_size,
 };
 
 use crate::autoscaler::ArrivalHistory;
@@ -256,7 +256,7 @@
         let reply = match self.jobs.get(job) {
             Some(job) if self.leadership.is_leading() => Reply::TaskCounts {
                 completed: job.completed.len(),
-                running: job.running(),
+                running: job.running_tasks(),
             },
             _ => Reply::Unavailable,
         };
