--- a/src/engine/blocked_job_queries.rs
+++ b/src/engine/blocked_job_queries.rs
@@ -62,7 +62,7 @@
     /// Marks a refresh as begun at `now`.
     pub(super) fn begin_refresh(&mut self, now: Timestamp) {
         self.refresh_in_flight = true;
-        self.next_refresh_at = now + constants::REFRESH_INTERVAL;
+        self.next_refresh_at = now + constants::BLOCKED_JOB_REFRESH_INTERVAL;
     }
 
     /// Marks the refresh in flight as ended, whether it succeeded or not.
@@ -108,7 +108,7 @@
     fn is_given_up(&self, give_up: GiveUp, now: Timestamp) -> bool {
         match give_up {
             GiveUp::Never => false,
-            GiveUp::Expired => now > self.received_at + constants::MAX_QUERY_AGE,
+            GiveUp::Expired => now > self.received_at + constants::BLOCKED_JOB_QUERY_TIMEOUT,
             GiveUp::Always => true,
         }
     }
--- a/src/engine/blocked_job_queries/tests.rs
+++ b/src/engine/blocked_job_queries/tests.rs
@@ -20,14 +20,14 @@
         !queries.needs_refresh(instant(2)),
         "the refresh interval has not passed"
     );
-    assert!(queries.needs_refresh(instant(0) + constants::REFRESH_INTERVAL));
+    assert!(queries.needs_refresh(instant(0) + constants::BLOCKED_JOB_REFRESH_INTERVAL));
 }
 
 #[test]
 fn unanswerable_queries_are_given_up_when_expired_or_always() {
     let mut queries = BlockedJobQueries::default();
     assert!(queries.add("run-1".into(), 1, instant(0)));
-    let expires_at = instant(0) + constants::MAX_QUERY_AGE;
+    let expires_at = instant(0) + constants::BLOCKED_JOB_QUERY_TIMEOUT;
     assert!(
         queries
             .take_replies(NOT_BLOCKED, GiveUp::Expired, expires_at)
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -232,8 +232,8 @@
 /// Returns the minimum time between two writes of progress and removals for a state service that
 /// allows `changes_per_second` changes per second.
 fn progress_interval(changes_per_second: f64) -> Duration {
-    let millis = (1000.0 * constants::PROGRESS_WRITE_INTERVAL_CHANGES / changes_per_second) as u64;
-    constants::PROGRESS_WRITE_INTERVAL.max(Duration::from_millis(millis))
+    let millis = (1000.0 * constants::CHANGES_PER_PROGRESS_WRITE / changes_per_second) as u64;
+    constants::MIN_PROGRESS_WRITE_INTERVAL.max(Duration::from_millis(millis))
 }
 
 /// Adds a job's end to a transaction. Adds nothing if the job is open, its end is recorded already,
