--- a/src/engine/tests/combined_faults/cancellations.rs
+++ b/src/engine/tests/combined_faults/cancellations.rs
@@ -2,7 +2,7 @@
 
 use super::super::simulated_cluster::SimulatedCluster;
 use super::super::support::{
-    JobChanges, cluster_with, cluster_with_two_services, move_leadership_east, short_job,
+    JobSubmissionExt, cluster_with, cluster_with_two_services, move_leadership_east, short_job,
 };
 use super::assert_recovers;
 use crate::wire::user::{JobKind, JobState};
@@ -25,7 +25,7 @@
                         cluster.cancel("run-1");
                         cluster.run(early);
                     }
-                    cluster.faults.store_refuses.insert(leader);
+                    cluster.faults.nodes_without_store.insert(leader);
                     if !peers {
                         cluster.faults.nodes_without_peers.insert(leader);
                     }
@@ -79,7 +79,7 @@
     for announced in [false, true] {
         let mut cluster = cluster_with_two_services();
         let leader = cluster.leader().unwrap();
-        cluster.faults.store_refuses.insert(leader);
+        cluster.faults.nodes_without_store.insert(leader);
         cluster.run(200);
         cluster.cancel("run-1");
         if announced {
@@ -100,7 +100,7 @@
     for hang in [5_000, 12_000, 30_000] {
         let mut cluster = cluster_with_two_services();
         let leader = cluster.leader().unwrap();
-        cluster.faults.store_refuses.insert(leader);
+        cluster.faults.nodes_without_store.insert(leader);
         cluster.run(300);
         cluster.cancel("run-1");
         cluster.cancel("run-2");
@@ -110,7 +110,7 @@
         cluster
             .faults
             .hung_machines
-            .extend(cluster.machine_of("run-1"));
+            .extend(cluster.first_machine_of_job("run-1"));
         cluster.run(hang);
         cluster.faults.hung_machines.clear();
         cluster.run(64_000 - hang);
@@ -129,7 +129,7 @@
         assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 3));
         move_leadership_east(&mut cluster);
         cluster.faults.zones_partitioned = true;
-        cluster.faults.store_refuses.insert(1);
+        cluster.faults.nodes_without_store.insert(1);
         // So that the leader can't return the machines without heartbeats.
         cluster.faults.cloud_unavailable = true;
         cluster.run(wait);
--- a/src/engine/tests/combined_faults/late_messages.rs
+++ b/src/engine/tests/combined_faults/late_messages.rs
@@ -94,7 +94,7 @@
 fn stale_heartbeats_of_an_unreachable_machine_remove_no_task() {
     for crash in [false, true] {
         let mut cluster = cluster_with_two_services();
-        let machine = cluster.machine_of("run-1").unwrap();
+        let machine = cluster.first_machine_of_job("run-1").unwrap();
         // Those sent before its first task.
         let mut heartbeats = cluster.heartbeats_of(&machine);
         heartbeats.retain(|heartbeat| heartbeat.tasks.is_empty());
@@ -121,7 +121,7 @@
     for hang in [2_000, 6_000, 14_000, 25_000] {
         for crash in [false, true] {
             let mut cluster = cluster_with_two_services();
-            let machine = cluster.machine_of("run-1").unwrap();
+            let machine = cluster.first_machine_of_job("run-1").unwrap();
             cluster.faults.hung_machines.insert(machine);
             cluster.run(500);
             cluster.cancel("run-1");
--- a/src/engine/tests/combined_faults/leader_changes.rs
+++ b/src/engine/tests/combined_faults/leader_changes.rs
@@ -28,7 +28,7 @@
         rounds + 1,
         "durable, and not yet sent"
     );
-    cluster.faults.store_refuses.insert(leader);
+    cluster.faults.nodes_without_store.insert(leader);
     cluster.faults.nodes_without_peers.insert(leader);
     cluster.run(crate::model::whole_millis(constants::LEASE_TTL) + 100);
     cluster.cancel("run-3");
@@ -71,7 +71,7 @@
     cluster.run(10_000);
     let former_leader = cluster.leader().unwrap();
     let [fast_follower, slow_follower] = followers(&cluster);
-    cluster.faults.store_refuses.insert(former_leader);
+    cluster.faults.nodes_without_store.insert(former_leader);
     cluster.faults.store_call_delay.insert(slow_follower, 1_400);
     while cluster.count_keys("live/lead") == 1 {
         cluster.run(1);
@@ -87,9 +87,9 @@
     assert!(cluster.run_until(1_500, |w| w.started_jobs.contains("run-2")));
     // It has led for a second; after its restart the state service refuses it.
     cluster.crash(fast_follower);
-    cluster.faults.store_refuses.insert(fast_follower);
+    cluster.faults.nodes_without_store.insert(fast_follower);
     cluster.start(fast_follower);
-    let machine = cluster.machine_of("run-2").unwrap();
+    let machine = cluster.first_machine_of_job("run-2").unwrap();
     cluster.faults.unreachable_machines.insert(machine);
     // Its election is pending; later calls get their reply at once.
     cluster.run(2_200);
@@ -136,7 +136,7 @@
     for downtime in [18_000, 25_000, 70_000] {
         let mut cluster = cluster_with_two_services();
         cluster.submit(short_job("run-3", JobKind::Array, 2));
-        let cut = cluster.machine_of("run-1").unwrap();
+        let cut = cluster.first_machine_of_job("run-1").unwrap();
         cluster.crash_all_nodes();
         cluster.run(downtime - 2_000);
         // It is still unreachable when nodes are up again.
--- a/src/engine/tests/combined_faults/lost_machines.rs
+++ b/src/engine/tests/combined_faults/lost_machines.rs
@@ -49,7 +49,7 @@
         cluster
             .faults
             .unreachable_machines
-            .extend(cluster.machine_of("run-1"));
+            .extend(cluster.first_machine_of_job("run-1"));
         cluster.crash(leader);
         cluster.run(2_000);
         cluster.cancel("run-1");
@@ -79,7 +79,7 @@
         move_leadership_east(&mut cluster);
         cluster.faults.zones_partitioned = true;
         cluster.run(5_000);
-        let lost = cluster.machine_of("run-2").unwrap();
+        let lost = cluster.first_machine_of_job("run-2").unwrap();
         cluster.faults.hung_machines.insert(lost);
         cluster.run(isolated_for);
         cluster.cancel("run-1");
--- a/src/engine/tests/combined_faults/mod.rs
+++ b/src/engine/tests/combined_faults/mod.rs
@@ -33,5 +33,5 @@
 /// All workers send a heartbeat to this node at once, whichever they reported to before.
 pub(super) fn redirect_all_workers_to(cluster: &mut SimulatedCluster, node: usize) {
     cluster.workers.values_mut().for_each(|w| w.node = node);
-    cluster.heartbeat_all_within(300);
+    cluster.schedule_all_heartbeats_within(300);
 }
--- a/src/engine/tests/dependencies/blocked_jobs.rs
+++ b/src/engine/tests/dependencies/blocked_jobs.rs
@@ -2,7 +2,7 @@
 
 use super::super::simulated_cluster::SimulatedCluster;
 use super::super::support::{
-    JobChanges, assert_completes, cluster_with, dependent_job, lasting_job, short_job,
+    JobSubmissionExt, assert_completes, cluster_with, dependent_job, job_with_duration, short_job,
 };
 use crate::constants::STARVATION_AFTER;
 use crate::model::{Job, JobId, JobPhase, JobSpec, Timestamp, UnixTime};
@@ -86,7 +86,7 @@
 /// the wait: the deadline counts from the submission, starvation from when the job could start.
 #[test]
 fn times_of_a_blocked_job_survive_a_failover() {
-    let first = lasting_job("run-1", JobKind::Array, 1, 60.0);
+    let first = job_with_duration("run-1", JobKind::Array, 1, 60.0);
     let mut last = dependent_job("run-2", JobKind::Service, 1, &["run-1"]);
     last.deadline_s = Some(900.0);
     let mut cluster = cluster_with(vec![first, last]);
@@ -121,7 +121,7 @@
 /// later one that is not blocked gets it.
 #[test]
 fn blocked_job_uses_no_team_guarantee() {
-    let first = lasting_job("run-1", JobKind::Array, 1, 300.0);
+    let first = job_with_duration("run-1", JobKind::Array, 1, 300.0);
     let waiting = dependent_job("run-2", JobKind::Array, 3, &["run-1"]);
     let mut cluster = cluster_with(vec![first, waiting]);
     cluster.run(100);
--- a/src/engine/tests/dependencies/event_orders.rs
+++ b/src/engine/tests/dependencies/event_orders.rs
@@ -125,7 +125,7 @@
             times: EventTimes::default(),
         };
         run.cluster.faults.max_jitter = case.max_jitter;
-        run.cluster.jitter = SmallRng::seed_from_u64(case.seed);
+        run.cluster.jitter_rng = SmallRng::seed_from_u64(case.seed);
         for event in case.order {
             run.apply_event(*event, case.queried_node);
             run.queries.run(&mut run.cluster, case.gap);
--- a/src/engine/tests/failover.rs
+++ b/src/engine/tests/failover.rs
@@ -1,7 +1,9 @@
 //! Crashes of leaders, and of all nodes.
 
 use super::simulated_cluster::SimulatedCluster;
-use super::support::{assert_completes, cluster_with, lasting_job, short_job, whole_machine_gang};
+use super::support::{
+    assert_completes, cluster_with, job_with_duration, short_job, whole_machine_gang,
+};
 use crate::wire::user::JobKind;
 
 #[test]
@@ -51,7 +53,7 @@
 /// not sent a heartbeat to it yet.
 #[test]
 fn failover_with_queued_jobs_rents_no_duplicate_machines() {
-    let first = lasting_job("run-1", JobKind::Array, 4, 400.0);
+    let first = job_with_duration("run-1", JobKind::Array, 4, 400.0);
     let mut cluster = cluster_with(vec![first]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 4));
     cluster.submit(short_job("run-2", JobKind::Array, 4));
@@ -69,7 +71,7 @@
 
 #[test]
 fn largest_array_continues_after_a_failover() {
-    let large = lasting_job("run-1", JobKind::Array, 100_000, 0.5);
+    let large = job_with_duration("run-1", JobKind::Array, 100_000, 0.5);
     let mut cluster = cluster_with(vec![large]);
     cluster.run(90_000);
     let (before, rounds) = (cluster.starts, cluster.count_keys("rounds/"));
@@ -150,7 +152,7 @@
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 20));
     // Longer than a machine may take to boot.
     cluster.run(30_000);
-    let dead = cluster.machine_of("run-1").unwrap();
+    let dead = cluster.first_machine_of_job("run-1").unwrap();
     cluster.faults.hung_machines.insert(dead);
     for round in 0..8 {
         let leader = cluster.crash_leader();
--- a/src/engine/tests/job_lifecycle.rs
+++ b/src/engine/tests/job_lifecycle.rs
@@ -1,7 +1,7 @@
 //! Jobs from their submission to their end, without faults.
 
 use super::simulated_cluster::SimulatedCluster;
-use super::support::{assert_completes, cluster_with, lasting_job, short_job};
+use super::support::{assert_completes, cluster_with, job_with_duration, short_job};
 use crate::wire::user::{JobKind, JobState};
 
 #[test]
@@ -67,7 +67,7 @@
     let mut cluster = SimulatedCluster::new(3, 40.0);
     cluster.run(2_000);
     for number in 0..10 {
-        let job = lasting_job(&format!("run-{number}"), JobKind::Array, 4, 300.0);
+        let job = job_with_duration(&format!("run-{number}"), JobKind::Array, 4, 300.0);
         cluster.submit(job);
     }
     assert!(cluster.run_until(60_000, |w| w.starts > 0));
@@ -98,7 +98,7 @@
 fn starts_of_a_large_gang_span_several_records() {
     for lose_every in [0, 2] {
         let mut cluster = SimulatedCluster::new(3, 400.0);
-        let gang = lasting_job("run-1", JobKind::Gang, 300, 60.0);
+        let gang = job_with_duration("run-1", JobKind::Gang, 300, 60.0);
         cluster.run(2_000);
         cluster.submit(gang);
         cluster.faults.lose_commit_reply_every = lose_every;
--- a/src/engine/tests/large_fleet.rs
+++ b/src/engine/tests/large_fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets of full size.
 
 use super::simulated_cluster::{SimulatedCluster, UNLIMITED_GPUS};
-use super::support::{lasting_job, short_job};
+use super::support::{job_with_duration, short_job};
 use crate::constants;
 use crate::wire::user::{JobKind, Priority};
 use crate::wire::worker::Heartbeat;
@@ -16,7 +16,7 @@
     for number in 0..tasks / 80 {
         let mut service = short_job(&format!("run-1{number}"), JobKind::Service, 8);
         (service.priority, service.spread_zones) = (Priority::Production, true);
-        let array = lasting_job(&format!("run-2{number}"), JobKind::Array, 72, 3_000.0);
+        let array = job_with_duration(&format!("run-2{number}"), JobKind::Array, 72, 3_000.0);
         cluster.submit(service);
         cluster.submit(array);
     }
@@ -103,7 +103,7 @@
     let copies = last_heartbeats(&cluster, &busy);
     cluster.crash_leader();
     cluster.run(3_000);
-    cluster.heartbeat_all_within(1_000);
+    cluster.schedule_all_heartbeats_within(1_000);
     for copies in copies.chunks(200) {
         cluster.redeliver_heartbeats(copies);
         cluster.run(200);
--- a/src/engine/tests/large_gangs.rs
+++ b/src/engine/tests/large_gangs.rs
@@ -1,7 +1,7 @@
 //! Gangs whose starts don't fit into one transaction: their rounds are written in several.
 
 use super::simulated_cluster::{Millis, SimulatedCluster, UNLIMITED_GPUS};
-use super::support::{JobChanges, assert_completes, lasting_job, short_job};
+use super::support::{JobSubmissionExt, assert_completes, job_with_duration, short_job};
 use crate::wire::user::{JobKind, JobSubmission};
 
 /// The lowest limits that the settings allow: 128 starts per transaction.
@@ -11,7 +11,7 @@
 
 /// A gang that takes three transactions.
 fn gang() -> JobSubmission {
-    lasting_job("run-1", JobKind::Gang, 300, 60.0)
+    job_with_duration("run-1", JobKind::Gang, 300, 60.0)
 }
 
 /// A cluster under the least limits.
--- a/src/engine/tests/leadership.rs
+++ b/src/engine/tests/leadership.rs
@@ -9,7 +9,7 @@
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
     let former_leader = cluster.leader().unwrap();
-    cluster.faults.store_refuses.insert(former_leader);
+    cluster.faults.nodes_without_store.insert(former_leader);
     assert!(cluster.run_until(
         2 * crate::model::whole_millis(constants::LEASE_TTL),
         |cluster| {
@@ -51,7 +51,7 @@
     cluster.run(10_000);
     let busy = cluster.busy_machines();
     let former_leader = cluster.leader().unwrap();
-    cluster.faults.store_refuses.insert(former_leader);
+    cluster.faults.nodes_without_store.insert(former_leader);
     cluster.faults.nodes_without_peers.insert(former_leader);
     assert!(
         cluster.run_until(8_000, |w| w.leader() != Some(former_leader)
@@ -78,7 +78,7 @@
         .unwrap();
     cluster.faults = Default::default();
     cluster.run(10_000);
-    cluster.faults.store_refuses.insert(follower);
+    cluster.faults.nodes_without_store.insert(follower);
     cluster.faults.nodes_without_peers.insert(follower);
     cluster.run(20_000);
     assert!(!cluster.engine(follower).unwrap().status().ready);
@@ -96,7 +96,7 @@
     for node in (0..3).filter(|node| *node != leader) {
         cluster.crash(node);
     }
-    cluster.faults.store_refuses.insert(leader);
+    cluster.faults.nodes_without_store.insert(leader);
     cluster.run(500);
     cluster.cancel("run-1");
     cluster.run(60_000);
--- a/src/engine/tests/machine_lists.rs
+++ b/src/engine/tests/machine_lists.rs
@@ -1,6 +1,6 @@
 //! Wrong machine lists of the cloud.
 
-use super::simulated_cluster::{ListFault, SimulatedCluster};
+use super::simulated_cluster::{MachineListFault, SimulatedCluster};
 use super::support::{cluster_with, short_job};
 use crate::constants;
 use crate::wire::user::JobKind;
@@ -16,7 +16,10 @@
 /// accepted again.
 #[test]
 fn endless_machine_list_is_abandoned_and_read_again() {
-    for fault in [ListFault::Repeats, ListFault::Endless] {
+    for fault in [
+        MachineListFault::FirstPageRepeated,
+        MachineListFault::Endless,
+    ] {
         let mut cluster = cluster_with_machines();
         let (busy, starts) = (cluster.busy_machines(), cluster.starts);
         cluster.faults.machine_list = fault;
@@ -25,11 +28,11 @@
         let pages = cluster.listed_pages - before;
         let lists = 60_000 / crate::model::whole_millis(constants::MACHINE_LIST_INTERVAL) + 1;
         let max_pages = match fault {
-            ListFault::Repeats => 2 * lists,
+            MachineListFault::FirstPageRepeated => 2 * lists,
             _ => lists * u64::from(constants::MAX_MACHINE_LIST_PAGES + 1),
         };
         assert!(pages <= max_pages, "{fault:?}: {pages} pages in a minute");
-        cluster.faults.machine_list = ListFault::None;
+        cluster.faults.machine_list = MachineListFault::None;
         cluster.run(60_000);
         assert_eq!(
             (cluster.running_tasks("run-1"), cluster.starts),
@@ -48,7 +51,7 @@
 #[test]
 fn machine_listed_twice_counts_once() {
     let mut cluster = cluster_with_machines();
-    cluster.faults.machine_list = ListFault::Doubled;
+    cluster.faults.machine_list = MachineListFault::DuplicateEntries;
     let (busy, starts) = (cluster.busy_machines(), cluster.starts);
     cluster.run(60_000);
     assert_eq!((cluster.busy_machines(), cluster.starts), (busy, starts));
@@ -61,7 +64,7 @@
 fn endless_machine_list_is_not_taken_for_an_empty_fleet() {
     let mut cluster = cluster_with_machines();
     let (busy, starts) = (cluster.busy_machines(), cluster.starts);
-    cluster.faults.machine_list = ListFault::Repeats;
+    cluster.faults.machine_list = MachineListFault::FirstPageRepeated;
     let leader = cluster.leader().unwrap();
     cluster.restart(leader, 1_000);
     let machines = cluster.workers.len();
@@ -72,7 +75,7 @@
         busy.iter()
             .all(|machine| !cluster.returned_machines.contains(machine))
     );
-    cluster.faults.machine_list = ListFault::None;
+    cluster.faults.machine_list = MachineListFault::None;
     assert!(cluster.run_until(120_000, |w| w.is_done("run-2")));
     assert_eq!(
         (cluster.running_tasks("run-1"), cluster.starts),
--- a/src/engine/tests/machines.rs
+++ b/src/engine/tests/machines.rs
@@ -8,7 +8,7 @@
 fn hung_machine_is_replaced_without_duplicate_tasks() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    let machine = cluster.machine_of("run-1").unwrap();
+    let machine = cluster.first_machine_of_job("run-1").unwrap();
     cluster.faults.hung_machines.insert(machine.clone());
     cluster.faults.cloud_unavailable = true;
     cluster.run(60_000);
@@ -45,7 +45,7 @@
     );
     let returned = cluster.returned_machines[returned_before..]
         .iter()
-        .filter(|machine| cluster.machine_of("run-4").as_ref() == Some(*machine));
+        .filter(|machine| cluster.first_machine_of_job("run-4").as_ref() == Some(*machine));
     assert_eq!(returned.count(), 0);
 }
 
@@ -56,7 +56,7 @@
         short_job("run-2", JobKind::Array, 2),
     ]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 2));
-    let machine = cluster.machine_of("run-1").unwrap();
+    let machine = cluster.first_machine_of_job("run-1").unwrap();
     for _ in 0..20 {
         cluster.redeliver_heartbeats(&cluster.heartbeats_of(&machine));
         cluster.run(700);
@@ -69,7 +69,7 @@
 fn unknown_tasks_are_stopped() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    let machine = cluster.machine_of("run-1").unwrap();
+    let machine = cluster.first_machine_of_job("run-1").unwrap();
     cluster
         .jobs
         .insert("run-9".into(), short_job("run-9", JobKind::Service, 1));
@@ -86,7 +86,7 @@
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
     cluster.run(10_000);
-    let machine = cluster.machine_of("run-1").unwrap();
+    let machine = cluster.first_machine_of_job("run-1").unwrap();
     cluster
         .faults
         .machines_without_replies
@@ -111,7 +111,7 @@
 fn machine_without_replies_since_a_failover_is_replaced() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    let machine = cluster.machine_of("run-1").unwrap();
+    let machine = cluster.first_machine_of_job("run-1").unwrap();
     cluster.crash_leader();
     cluster
         .faults
@@ -129,7 +129,7 @@
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
     cluster.run(20_000);
-    let machine = cluster.machine_of("run-1").unwrap();
+    let machine = cluster.first_machine_of_job("run-1").unwrap();
     let heartbeats = cluster.heartbeats_of(&machine);
     cluster.faults.hung_machines.insert(machine.clone());
     for _ in 0..25 {
@@ -161,7 +161,7 @@
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 3)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 3));
     cluster.run(5_000);
-    let machine = cluster.machine_of("run-1").unwrap();
+    let machine = cluster.first_machine_of_job("run-1").unwrap();
     let old = cluster.heartbeats_of(&machine);
     cluster.restart_worker(&machine);
     cluster.redeliver_heartbeats(&old);
--- a/src/engine/tests/message_reordering.rs
+++ b/src/engine/tests/message_reordering.rs
@@ -1,7 +1,7 @@
 //! Late and overtaken messages. Each test fails if the guard against them is removed.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
-use super::support::{assert_completes, cluster_with, dependent_job, lasting_job, short_job};
+use super::support::{assert_completes, cluster_with, dependent_job, job_with_duration, short_job};
 use crate::engine::records;
 use crate::wire::user::{JobKind, JobState};
 use crate::wire::worker::{Task, TaskState};
@@ -62,13 +62,13 @@
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
     let first = cluster.leader().unwrap();
-    cluster.faults.store_refuses.insert(first);
+    cluster.faults.nodes_without_store.insert(first);
     assert!(cluster.run_until(20_000, |cluster| {
         cluster.leader().is_some_and(|leader| leader != first)
     }));
-    cluster.faults.store_refuses.clear();
+    cluster.faults.nodes_without_store.clear();
     cluster.run(5_000);
-    let machine = cluster.machine_of("run-1").unwrap();
+    let machine = cluster.first_machine_of_job("run-1").unwrap();
     cluster.faults.hung_machines.insert(machine.clone());
     cluster.faults.zone_capacity = Some(0);
     assert!(cluster.run_until(60_000, |w| returns(w, &machine) == 1));
@@ -93,7 +93,7 @@
 fn overtaken_watch_reply_changes_nothing() {
     const REPLY_DELAY: Millis = 900;
     for offset in [0, 130, 260, 390] {
-        let first = lasting_job("run-1", JobKind::Service, 1, 300.0);
+        let first = job_with_duration("run-1", JobKind::Service, 1, 300.0);
         let second = dependent_job("run-2", JobKind::Array, 1, &["run-1"]);
         let mut cluster = cluster_with(vec![first, second]);
         cluster.run(20_000);
--- a/src/engine/tests/partitions.rs
+++ b/src/engine/tests/partitions.rs
@@ -1,6 +1,8 @@
 //! Outages of the state service, lost replies and partitioned zones.
 
-use super::support::{JobChanges, assert_completes, cluster_with, move_leadership_east, short_job};
+use super::support::{
+    JobSubmissionExt, assert_completes, cluster_with, move_leadership_east, short_job,
+};
 use crate::wire::user::JobKind;
 
 #[test]
@@ -69,7 +71,7 @@
     assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 3));
     move_leadership_east(&mut cluster);
     cluster.faults.zones_partitioned = true;
-    cluster.faults.store_refuses.insert(1);
+    cluster.faults.nodes_without_store.insert(1);
     cluster.run(30_000);
     assert_eq!(cluster.running_tasks("run-1"), 3, "{}", cluster.describe());
     cluster.faults = Default::default();
--- a/src/engine/tests/replay/scenarios/faults.rs
+++ b/src/engine/tests/replay/scenarios/faults.rs
@@ -1,30 +1,30 @@
 //! Scenarios with machines lost, wrong machine lists and partitions.
 
-use crate::engine::tests::simulated_cluster::{ListFault, SimulatedCluster};
-use crate::engine::tests::support::{JobChanges, lasting_job, short_job};
+use crate::engine::tests::simulated_cluster::{MachineListFault, SimulatedCluster};
+use crate::engine::tests::support::{JobSubmissionExt, job_with_duration, short_job};
 use crate::wire::user::JobKind;
 
 pub(super) fn machines_lost_and_wrong_lists(cluster: &mut SimulatedCluster) {
     cluster.run(2_000);
     cluster.submit(short_job("run-1", JobKind::Service, 4));
-    cluster.submit(lasting_job("run-2", JobKind::Gang, 2, 90.0));
+    cluster.submit(job_with_duration("run-2", JobKind::Gang, 2, 90.0));
     cluster.run(45_000);
-    let hung = cluster.machine_of("run-1").unwrap();
+    let hung = cluster.first_machine_of_job("run-1").unwrap();
     cluster.faults.hung_machines.insert(hung);
-    cluster.faults.machine_list = ListFault::Doubled;
+    cluster.faults.machine_list = MachineListFault::DuplicateEntries;
     cluster.faults.duplicate_heartbeat_every = 5;
     cluster.run(40_000);
-    cluster.faults.machine_list = ListFault::Repeats;
-    if let Some(deaf) = cluster.machine_of("run-1") {
+    cluster.faults.machine_list = MachineListFault::FirstPageRepeated;
+    if let Some(deaf) = cluster.first_machine_of_job("run-1") {
         cluster.faults.machines_without_replies.insert(deaf);
     }
     cluster.submit(short_job("run-3", JobKind::Array, 5));
     cluster.run(40_000);
-    cluster.faults.machine_list = ListFault::None;
-    if let Some(sick) = cluster.machine_of("run-2") {
+    cluster.faults.machine_list = MachineListFault::None;
+    if let Some(sick) = cluster.first_machine_of_job("run-2") {
         cluster.faults.failing_machines.insert(sick);
     }
-    if let Some(restarted) = cluster.machine_of("run-1") {
+    if let Some(restarted) = cluster.first_machine_of_job("run-1") {
         cluster.restart_worker(&restarted);
     }
     cluster.faults.failing_jobs.insert("run-4".into());
@@ -49,16 +49,16 @@
     cluster.faults.zones_partitioned = false;
     cluster.run(15_000);
     let refused = cluster.leader().unwrap();
-    cluster.faults.store_refuses.insert(refused);
+    cluster.faults.nodes_without_store.insert(refused);
     cluster.run(15_000);
-    cluster.faults.store_refuses.clear();
+    cluster.faults.nodes_without_store.clear();
     cluster.faults.lose_commit_reply_every = 0;
     let unreachable = cluster.leader().unwrap();
     cluster.faults.nodes_without_workers.insert(unreachable);
     cluster.run(40_000);
     cluster.faults.nodes_without_workers.clear();
     let alone = cluster.leader().unwrap();
-    cluster.faults.store_refuses.insert(alone);
+    cluster.faults.nodes_without_store.insert(alone);
     cluster.faults.nodes_without_peers.insert(alone);
     cluster.run(20_000);
     cluster.faults = Default::default();
--- a/src/engine/tests/replay/scenarios/jobs.rs
+++ b/src/engine/tests/replay/scenarios/jobs.rs
@@ -1,7 +1,7 @@
 //! Scenarios with jobs of all kinds, dependencies and cancellations.
 
 use crate::engine::tests::simulated_cluster::SimulatedCluster;
-use crate::engine::tests::support::{dependent_job, lasting_job, short_job};
+use crate::engine::tests::support::{dependent_job, job_with_duration, short_job};
 use crate::wire::user::JobKind;
 use crate::wire::worker::ExitReason;
 
@@ -13,7 +13,7 @@
     cluster.run(26_000);
     let former_leader = cluster.crash_leader();
     cluster.run(1_000);
-    cluster.submit(lasting_job("run-4", JobKind::Array, 12, 4.0));
+    cluster.submit(job_with_duration("run-4", JobKind::Array, 12, 4.0));
     cluster.run(9_000);
     cluster.start(former_leader);
     for node in 0..3 {
@@ -30,7 +30,7 @@
         ("run-9", ExitReason::UnknownTask),
     ] {
         cluster.faults.forced_exits.insert(id.into(), reason);
-        cluster.submit(lasting_job(id, JobKind::Gang, 2, 5.0));
+        cluster.submit(job_with_duration(id, JobKind::Gang, 2, 5.0));
     }
     cluster.run(20_000);
     cluster.faults.forced_exits.clear();
@@ -47,7 +47,7 @@
         1,
         &["run-1", "run-3"],
     ));
-    cluster.submit(lasting_job("run-5", JobKind::Array, 2, 300.0));
+    cluster.submit(job_with_duration("run-5", JobKind::Array, 2, 300.0));
     cluster.submit(dependent_job("run-6", JobKind::Array, 2, &["run-5"]));
     cluster.submit(dependent_job(
         "run-7",
--- a/src/engine/tests/replay/scenarios/load.rs
+++ b/src/engine/tests/replay/scenarios/load.rs
@@ -1,14 +1,16 @@
 //! Scenarios with more jobs than resources.
 
 use crate::engine::tests::simulated_cluster::SimulatedCluster;
-use crate::engine::tests::support::{JobChanges, lasting_job, short_job, whole_machine_gang};
+use crate::engine::tests::support::{
+    JobSubmissionExt, job_with_duration, short_job, whole_machine_gang,
+};
 use crate::wire::user::{JobKind, Priority};
 
 pub(super) fn preemption_and_reclaimed_machines(cluster: &mut SimulatedCluster) {
     cluster.faults.zone_capacity = Some(2);
     (cluster.faults.save_checkpoints, cluster.faults.gang_wait) = (true, 1_500);
     cluster.run(2_000);
-    let mut array = lasting_job("run-1", JobKind::Array, 20, 200.0);
+    let mut array = job_with_duration("run-1", JobKind::Array, 20, 200.0);
     (array.priority, array.allows_spot) = (Priority::Low, true);
     cluster.submit(array);
     let mut service = short_job("run-2", JobKind::Service, 2);
@@ -17,13 +19,13 @@
     cluster.run(70_000);
     cluster.submit(whole_machine_gang("run-3", 2).with_priority(Priority::Production));
     cluster.run(40_000);
-    let urgent = lasting_job("run-4", JobKind::Array, 4, 15.0).with_priority(Priority::High);
+    let urgent = job_with_duration("run-4", JobKind::Array, 4, 15.0).with_priority(Priority::High);
     cluster.submit(urgent);
-    if let Some(machine) = cluster.machine_of("run-2") {
+    if let Some(machine) = cluster.first_machine_of_job("run-2") {
         cluster.faults.preemption_notices.insert(machine, 30.0);
     }
     cluster.run(40_000);
-    if let Some(machine) = cluster.machine_of("run-1") {
+    if let Some(machine) = cluster.first_machine_of_job("run-1") {
         cluster
             .faults
             .preemption_notices
@@ -80,7 +82,8 @@
     cluster.faults.zone_capacity = Some(7);
     cluster.run(2_000);
     for second in 0..190 {
-        let small = lasting_job(&format!("run-{second}"), JobKind::Array, 4, 30.0).in_zone("east");
+        let small =
+            job_with_duration(&format!("run-{second}"), JobKind::Array, 4, 30.0).in_zone("east");
         cluster.submit(small);
         if second == 40 {
             let mut gang = whole_machine_gang("run-1000", 5);
--- a/src/engine/tests/simulated_cluster/cloud.rs
+++ b/src/engine/tests/simulated_cluster/cloud.rs
@@ -1,7 +1,7 @@
 //! The simulated cloud.
 
 use super::workers::{BOOT_TIME, MACHINE_GPUS, machine_name};
-use super::{ListFault, Millis, SimulatedCluster, Worker};
+use super::{MachineListFault, Millis, SimulatedCluster, Worker};
 use crate::cloud::{CloudCall, CloudError, CloudReply};
 use crate::constants;
 use crate::wire::cloud::{
@@ -106,7 +106,7 @@
     fn list_machines(&mut self, after: String) -> MachinePage {
         self.listed_pages += 1;
         let after = match self.faults.machine_list {
-            ListFault::Repeats => String::new(),
+            MachineListFault::FirstPageRepeated => String::new(),
             _ => after,
         };
         let mut rest = self.workers.iter().filter(|(name, _)| **name > after);
@@ -118,14 +118,14 @@
             .collect();
         let mut has_more = rest.next().is_some();
         match self.faults.machine_list {
-            ListFault::None => {}
-            ListFault::Repeats => has_more = true,
-            ListFault::Endless => {
+            MachineListFault::None => {}
+            MachineListFault::FirstPageRepeated => has_more = true,
+            MachineListFault::Endless => {
                 has_more = true;
                 let id = format!("host-x{:06}", self.listed_pages);
                 machines.push(listed_machine(id, "east", MachineState::Booting, 1.0));
             }
-            ListFault::Doubled => machines.extend_from_within(..),
+            MachineListFault::DuplicateEntries => machines.extend_from_within(..),
         }
         machines.sort_by(|left, right| left.id.cmp(&right.id));
         MachinePage { machines, has_more }
--- a/src/engine/tests/simulated_cluster/faults.rs
+++ b/src/engine/tests/simulated_cluster/faults.rs
@@ -6,16 +6,16 @@
 
 /// What may be wrong with the cloud's machine lists.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) enum ListFault {
+pub(crate) enum MachineListFault {
     /// Lists are correct.
     #[default]
     None,
     /// Each page is the first one, and says that there are more.
-    Repeats,
+    FirstPageRepeated,
     /// There is always another page, with a machine that nobody rented.
     Endless,
     /// Each page names its machines twice.
-    Doubled,
+    DuplicateEntries,
 }
 
 /// The faults that are in effect. By default there are none.
@@ -24,7 +24,7 @@
     /// The state service answers 503 to all nodes.
     pub(crate) store_unavailable: bool,
     /// The state service answers 503 to these nodes.
-    pub(crate) store_refuses: BTreeSet<usize>,
+    pub(crate) nodes_without_store: BTreeSet<usize>,
     /// Every nth commit is executed, and its reply is lost.
     pub(crate) lose_commit_reply_every: u64,
     /// Zones can't reach each other.
@@ -74,7 +74,7 @@
     /// The state service refuses to list work and rounds.
     pub(crate) refuse_record_lists: bool,
     /// What is wrong with the cloud's machine lists.
-    pub(crate) machine_list: ListFault,
+    pub(crate) machine_list: MachineListFault,
     /// The cloud's machine lists arrive this much later than they are made.
     pub(crate) machine_list_delay: Millis,
     /// Replies of the state service to these nodes take this much longer.
--- a/src/engine/tests/simulated_cluster/inspection.rs
+++ b/src/engine/tests/simulated_cluster/inspection.rs
@@ -64,7 +64,7 @@
     }
 
     /// The first machine with a task of the job.
-    pub(crate) fn machine_of(&self, id: &str) -> Option<String> {
+    pub(crate) fn first_machine_of_job(&self, id: &str) -> Option<String> {
         let has_task = |worker: &Worker| worker.tasks.keys().any(|task| is_task_of(task, id));
         let mut machines = self.workers.iter();
         let machine = machines.find(|(_, worker)| has_task(worker));
--- a/src/engine/tests/simulated_cluster/mod.rs
+++ b/src/engine/tests/simulated_cluster/mod.rs
@@ -19,7 +19,7 @@
 mod users;
 mod workers;
 
-pub(crate) use faults::{Faults, ListFault};
+pub(crate) use faults::{Faults, MachineListFault};
 pub(crate) use settings::settings_of;
 pub(crate) use workers::{Worker, WorkerTask};
 
@@ -110,7 +110,7 @@
     /// Settings of the state service's upcoming limits, as text.
     upcoming_limits: &'static str,
     /// Decides by how much each message is delayed.
-    pub(crate) jitter: SmallRng,
+    pub(crate) jitter_rng: SmallRng,
     /// Commands for a node that are due within this time arrive in one batch; none: one by one.
     pub(crate) batch_window: Option<Millis>,
     /// Records the engines' steps, if asked to.
@@ -162,7 +162,7 @@
             max_mutations: MAX_MUTATIONS,
             max_value_bytes: MAX_VALUE_BYTES,
             upcoming_limits,
-            jitter: SmallRng::seed_from_u64(0),
+            jitter_rng: SmallRng::seed_from_u64(0),
             batch_window: None,
             recorder: None,
         };
--- a/src/engine/tests/simulated_cluster/network.rs
+++ b/src/engine/tests/simulated_cluster/network.rs
@@ -12,7 +12,7 @@
     pub(super) fn next_jitter(&mut self) -> Millis {
         match self.faults.max_jitter {
             0 => 0,
-            max => self.jitter.random_range(0..=max),
+            max => self.jitter_rng.random_range(0..=max),
         }
     }
 
--- a/src/engine/tests/simulated_cluster/state_service/mod.rs
+++ b/src/engine/tests/simulated_cluster/state_service/mod.rs
@@ -131,7 +131,7 @@
             StoreCall::List { prefix, .. } if prefix == records::PROGRESS_PREFIX || prefix == records::ROUND_PREFIX
         );
         faults.store_unavailable
-            || faults.store_refuses.contains(&caller.process.node)
+            || faults.nodes_without_store.contains(&caller.process.node)
             || (lists_records && faults.refuse_record_lists)
     }
 
--- a/src/engine/tests/simulated_cluster/state_service/watches.rs
+++ b/src/engine/tests/simulated_cluster/state_service/watches.rs
@@ -70,7 +70,7 @@
             return Some(Err(StoreError::Unknown("no answer".into())));
         }
         let node = watch.caller.process.node;
-        if self.faults.store_unavailable || self.faults.store_refuses.contains(&node) {
+        if self.faults.store_unavailable || self.faults.nodes_without_store.contains(&node) {
             return None;
         }
         let events = self.store.changes_for(watch);
--- a/src/engine/tests/simulated_cluster/workers/heartbeats.rs
+++ b/src/engine/tests/simulated_cluster/workers/heartbeats.rs
@@ -72,7 +72,7 @@
     }
 
     /// Every worker sends a heartbeat within this time from now.
-    pub(crate) fn heartbeat_all_within(&mut self, duration: Millis) {
+    pub(crate) fn schedule_all_heartbeats_within(&mut self, duration: Millis) {
         let machines: Vec<String> = self.workers.keys().cloned().collect();
         for (number, machine) in (0..).zip(machines) {
             self.schedule_heartbeat(&machine, number % duration);
--- a/src/engine/tests/slow_links.rs
+++ b/src/engine/tests/slow_links.rs
@@ -2,7 +2,7 @@
 //! overtake one another, with more tasks than resources.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
-use super::support::{JobChanges, lasting_job, short_job, whole_machine_gang};
+use super::support::{JobSubmissionExt, job_with_duration, short_job, whole_machine_gang};
 use crate::wire::user::{JobKind, JobSubmission, Priority};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -25,7 +25,7 @@
     // Eight machines in each zone.
     cluster.faults.zone_capacity = Some(8);
     cluster.run(2_000);
-    cluster.jitter = SmallRng::seed_from_u64(seed);
+    cluster.jitter_rng = SmallRng::seed_from_u64(seed);
     cluster.faults.max_jitter = max_jitter;
     cluster
 }
@@ -36,7 +36,7 @@
     for second in 0..seconds {
         for _ in 0..3 {
             *submitted += 1;
-            let mut job = lasting_job(&format!("run-{submitted}"), JobKind::Array, 2, 16.0);
+            let mut job = job_with_duration(&format!("run-{submitted}"), JobKind::Array, 2, 16.0);
             if second % 2 == 0 {
                 job.priority = Priority::High;
             }
--- a/src/engine/tests/starvation.rs
+++ b/src/engine/tests/starvation.rs
@@ -1,7 +1,9 @@
 //! Large jobs and jobs of low priority beside a stream of others.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
-use super::support::{JobChanges, assert_completes, lasting_job, short_job, whole_machine_gang};
+use super::support::{
+    JobSubmissionExt, assert_completes, job_with_duration, short_job, whole_machine_gang,
+};
 use crate::wire::user::{JobKind, Priority};
 
 /// A gang needs sixteen whole machines in a zone of eighteen, beside a stream of small jobs that
@@ -16,7 +18,7 @@
         for _ in 0..duration / 1_000 {
             for _ in 0..2 {
                 submitted += 1;
-                let job = lasting_job(&format!("run-{submitted}"), JobKind::Array, 2, 20.0);
+                let job = job_with_duration(&format!("run-{submitted}"), JobKind::Array, 2, 20.0);
                 cluster.submit(job);
             }
             cluster.run(1_000);
--- a/src/engine/tests/support.rs
+++ b/src/engine/tests/support.rs
@@ -13,7 +13,12 @@
 }
 
 /// A job whose tasks run for that many seconds.
-pub(crate) fn lasting_job(id: &str, kind: JobKind, tasks: u64, seconds: f64) -> JobSubmission {
+pub(crate) fn job_with_duration(
+    id: &str,
+    kind: JobKind,
+    tasks: u64,
+    seconds: f64,
+) -> JobSubmission {
     JobSubmission {
         expected_duration_s: seconds,
         ..short_job(id, kind, tasks)
@@ -43,14 +48,14 @@
 }
 
 /// Changes to a job.
-pub(crate) trait JobChanges {
+pub(crate) trait JobSubmissionExt {
     /// The job with that priority.
     fn with_priority(self, priority: Priority) -> JobSubmission;
     /// The job, to be placed in that zone.
     fn in_zone(self, zone: &str) -> JobSubmission;
 }
 
-impl JobChanges for JobSubmission {
+impl JobSubmissionExt for JobSubmission {
     fn with_priority(self, priority: Priority) -> JobSubmission {
         JobSubmission { priority, ..self }
     }
