--- a/src/engine/tests/replay/mirror.rs
+++ b/src/engine/tests/replay/conversion.rs
@@ -12,31 +12,31 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-fn body(message: &impl Serialize) -> Body {
+fn encode_body(message: &impl Serialize) -> Body {
     Body::new(encode(message))
 }
 
-fn message<T: DeserializeOwned>(body: &Body) -> T {
+fn decode_body<T: DeserializeOwned>(body: &Body) -> T {
     decode(body.bytes()).unwrap()
 }
 
-fn texts<T: ToString>(items: &[T]) -> Vec<String> {
+fn to_strings<T: ToString>(items: &[T]) -> Vec<String> {
     items.iter().map(ToString::to_string).collect()
 }
 
 /// Lets the engine take a step of the script.
-pub(super) fn step(engine: &mut Engine, step: &script::Step) -> script::Outcome {
-    let commands: Vec<Command> = step.commands.iter().map(command_of).collect();
+pub(super) fn replay_step(engine: &mut Engine, step: &script::Step) -> script::Outcome {
+    let commands: Vec<Command> = step.commands.iter().map(engine_command).collect();
     let effects = engine.step(
         Duration::from_millis(step.now),
         UnixTime::from_millis(step.unix_time),
         commands,
     );
-    outcome(&effects, &engine.status())
+    record_outcome(&effects, &engine.status())
 }
 
 /// What a step has produced.
-pub(super) fn outcome(effects: &[Effect], status: &EngineStatus) -> script::Outcome {
+pub(super) fn record_outcome(effects: &[Effect], status: &EngineStatus) -> script::Outcome {
     script::Outcome {
         effects: effects.iter().map(record_effect).collect(),
         status: script::Status {
@@ -54,7 +54,7 @@
 pub(super) fn record_command(command: &Command) -> script::Command {
     match command {
         Command::Heartbeat { heartbeat, reply } => script::Command::Heartbeat {
-            body: body(heartbeat),
+            body: encode_body(heartbeat),
             reply: *reply,
         },
         Command::CountTasks { job, reply } => script::Command::TaskCounts {
@@ -69,27 +69,29 @@
             call: *call_id,
             answer: record_cloud_answer(result),
         },
-        Command::PeerAnnounced(said) => script::Command::Announcement(script::Announcement {
-            node: said.node.clone(),
-            term: said.term,
-            store_ok: said.store_reachable,
-        }),
+        Command::PeerAnnounced(announcement) => {
+            script::Command::Announcement(script::Announcement {
+                node: announcement.node.clone(),
+                term: announcement.term,
+                store_ok: announcement.store_reachable,
+            })
+        }
         Command::JobCancelled(job) => script::Command::JobCancelled(job.to_string()),
         Command::QueryBlockedJob { job, reply } => script::Command::BlockedJobState {
             job: job.to_string(),
             reply: *reply,
         },
         Command::FindUnknownJobs { jobs, reply } => script::Command::UnknownJobs {
-            jobs: texts(jobs),
+            jobs: to_strings(jobs),
             reply: *reply,
         },
     }
 }
 
-fn command_of(command: &script::Command) -> Command {
+fn engine_command(command: &script::Command) -> Command {
     match command {
         script::Command::Heartbeat { body, reply } => Command::Heartbeat {
-            heartbeat: message(body),
+            heartbeat: decode_body(body),
             reply: *reply,
         },
         script::Command::TaskCounts { job, reply } => Command::CountTasks {
@@ -104,10 +106,10 @@
             call_id: *call,
             result: cloud_result(answer),
         },
-        script::Command::Announcement(said) => Command::PeerAnnounced(Announcement {
-            node: said.node.clone(),
-            term: said.term,
-            store_reachable: said.store_ok,
+        script::Command::Announcement(announcement) => Command::PeerAnnounced(Announcement {
+            node: announcement.node.clone(),
+            term: announcement.term,
+            store_reachable: announcement.store_ok,
         }),
         script::Command::JobCancelled(job) => Command::JobCancelled(job.as_str().into()),
         script::Command::BlockedJobState { job, reply } => Command::QueryBlockedJob {
@@ -124,14 +126,14 @@
 fn record_store_answer(result: &Result<StoreReply, StoreError>) -> script::StoreAnswer {
     use script::StoreAnswer as Answer;
     match result {
-        Ok(StoreReply::Item(item)) => Answer::Item(item.as_ref().map(body)),
-        Ok(StoreReply::Listing(listing)) => Answer::Listing(body(listing)),
+        Ok(StoreReply::Item(item)) => Answer::Item(item.as_ref().map(encode_body)),
+        Ok(StoreReply::Listing(listing)) => Answer::Listing(encode_body(listing)),
         Ok(StoreReply::Committed { revision }) => Answer::Committed {
             revision: *revision,
         },
         Ok(StoreReply::LeaseGranted { lease }) => Answer::LeaseGranted { lease: *lease },
         Ok(StoreReply::LeaseUpdated) => Answer::Done,
-        Ok(StoreReply::Changes(changes)) => Answer::Changes(body(changes)),
+        Ok(StoreReply::Changes(changes)) => Answer::Changes(encode_body(changes)),
         Err(StoreError::Conflict(keys)) => Answer::Conflict(keys.clone()),
         Err(StoreError::NoLease) => Answer::NoLease,
         Err(StoreError::Compacted) => Answer::TooOld,
@@ -144,14 +146,14 @@
 fn store_result(answer: &script::StoreAnswer) -> Result<StoreReply, StoreError> {
     use script::StoreAnswer as Answer;
     match answer {
-        Answer::Item(item) => Ok(StoreReply::Item(item.as_ref().map(message))),
-        Answer::Listing(listing) => Ok(StoreReply::Listing(message(listing))),
+        Answer::Item(item) => Ok(StoreReply::Item(item.as_ref().map(decode_body))),
+        Answer::Listing(listing) => Ok(StoreReply::Listing(decode_body(listing))),
         Answer::Committed { revision } => Ok(StoreReply::Committed {
             revision: *revision,
         }),
         Answer::LeaseGranted { lease } => Ok(StoreReply::LeaseGranted { lease: *lease }),
         Answer::Done => Ok(StoreReply::LeaseUpdated),
-        Answer::Changes(changes) => Ok(StoreReply::Changes(message(changes))),
+        Answer::Changes(changes) => Ok(StoreReply::Changes(decode_body(changes))),
         Answer::Conflict(keys) => Err(StoreError::Conflict(keys.clone())),
         Answer::NoLease => Err(StoreError::NoLease),
         Answer::TooOld => Err(StoreError::Compacted),
@@ -164,10 +166,10 @@
 fn record_cloud_answer(result: &Result<CloudReply, CloudError>) -> script::CloudAnswer {
     use script::CloudAnswer as Answer;
     match result {
-        Ok(CloudReply::MachineTypes(types)) => Answer::Types(body(types)),
+        Ok(CloudReply::MachineTypes(types)) => Answer::Types(encode_body(types)),
         Ok(CloudReply::Rented(machines)) => Answer::Rented(machines.clone()),
         Ok(CloudReply::Returned) => Answer::Returned,
-        Ok(CloudReply::MachinePage(list)) => Answer::Listed(body(list)),
+        Ok(CloudReply::MachinePage(list)) => Answer::Listed(encode_body(list)),
         Err(CloudError::NoCapacity) => Answer::NoCapacity,
         Err(CloudError::Failed(reason)) => Answer::Failed(reason.to_string()),
     }
@@ -176,10 +178,10 @@
 fn cloud_result(answer: &script::CloudAnswer) -> Result<CloudReply, CloudError> {
     use script::CloudAnswer as Answer;
     match answer {
-        Answer::Types(types) => Ok(CloudReply::MachineTypes(message(types))),
+        Answer::Types(types) => Ok(CloudReply::MachineTypes(decode_body(types))),
         Answer::Rented(machines) => Ok(CloudReply::Rented(machines.clone())),
         Answer::Returned => Ok(CloudReply::Returned),
-        Answer::Listed(list) => Ok(CloudReply::MachinePage(message(list))),
+        Answer::Listed(list) => Ok(CloudReply::MachinePage(decode_body(list))),
         Answer::NoCapacity => Err(CloudError::NoCapacity),
         Answer::Failed(reason) => Err(CloudError::Failed(reason.as_str().into())),
     }
@@ -206,22 +208,24 @@
         },
         Effect::SendCommands { address, commands } => script::Effect::WorkerCommands {
             address: address.to_string(),
-            body: body(commands),
+            body: encode_body(commands),
         },
     }
 }
 
 fn record_reply(reply: &Reply) -> script::Reply {
     match reply {
-        Reply::HeartbeatAccepted(commands) => script::Reply::HeartbeatAnswer(body(commands)),
+        Reply::HeartbeatAccepted(commands) => script::Reply::HeartbeatAnswer(encode_body(commands)),
         Reply::RedirectToLeader(node) => script::Reply::Redirect(node.clone()),
         Reply::Unavailable => script::Reply::Unavailable,
         Reply::TaskCounts { completed, running } => script::Reply::TaskCounts {
             done: *completed,
             running: *running,
         },
-        Reply::BlockedJobState(state) => script::Reply::BlockedJobState(state.as_ref().map(body)),
-        Reply::UnknownJobs(jobs) => script::Reply::UnknownJobs(texts(jobs)),
+        Reply::BlockedJobState(state) => {
+            script::Reply::BlockedJobState(state.as_ref().map(encode_body))
+        }
+        Reply::UnknownJobs(jobs) => script::Reply::UnknownJobs(to_strings(jobs)),
     }
 }
 
@@ -233,7 +237,7 @@
             prefix: prefix.clone(),
             after: after.clone(),
         },
-        StoreCall::Commit(txn) => Request::Commit(body(txn)),
+        StoreCall::Commit(txn) => Request::Commit(encode_body(txn)),
         StoreCall::GrantLease { ttl } => Request::GrantLease {
             ttl_ms: whole_millis(*ttl),
         },
@@ -255,7 +259,7 @@
     use script::CloudRequest as Request;
     match call {
         CloudCall::ListMachineTypes => Request::Types,
-        CloudCall::Rent(rent) => Request::Rent(body(rent)),
+        CloudCall::Rent(rent) => Request::Rent(encode_body(rent)),
         CloudCall::Return(machines) => Request::Return(machines.clone()),
         CloudCall::ListMachines { after } => Request::List {
             after: after.clone(),
--- a/src/engine/tests/replay/coverage.rs
+++ b/src/engine/tests/replay/coverage.rs
@@ -2,7 +2,7 @@
 //! engine.
 
 use super::scenarios::SCENARIOS;
-use super::{read, script};
+use super::{read_script, script};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Guards against files that agree with the engine because they exercise nothing.
@@ -10,19 +10,19 @@
 fn recorded_scripts_cover_every_kind_of_command_and_effect() {
     let mut coverage = Coverage::default();
     for scenario in &SCENARIOS {
-        for process in read(scenario.name).processes {
-            coverage.count("process".into());
+        for process in read_script(scenario.name).processes {
+            coverage.increment("process".into());
             for step in process.steps {
-                coverage.add(scenario.name, &step);
+                coverage.add_step(scenario.name, &step);
             }
         }
     }
     println!("{coverage:#?}");
-    for kind in KINDS {
+    for kind in REQUIRED_KINDS {
         assert!(coverage.counts.contains_key(kind), "no {kind}");
     }
-    let replaced = coverage.terms.len() > SCENARIOS.len();
-    assert!(replaced, "no leader was replaced");
+    let leader_replaced = coverage.terms.len() > SCENARIOS.len();
+    assert!(leader_replaced, "no leader was replaced");
 }
 
 /// How often each kind of command, effect and task state occurs in the scripts.
@@ -34,25 +34,25 @@
 }
 
 impl Coverage {
-    fn count(&mut self, kind: String) {
+    fn increment(&mut self, kind: String) {
         *self.counts.entry(kind).or_default() += 1;
     }
 
-    fn add(&mut self, scenario: &'static str, step: &script::Step) {
-        self.count("step".into());
+    fn add_step(&mut self, scenario: &'static str, step: &script::Step) {
+        self.increment("step".into());
         if step.commands.len() > 1 {
-            self.count("batch of several commands".into());
+            self.increment("batch of several commands".into());
         }
         for command in &step.commands {
-            self.count(kind_of_command(command));
+            self.increment(kind_of_command(command));
             for state in task_states_in(command) {
-                self.count(state);
+                self.increment(state);
             }
         }
         for effect in &step.outcome.effects {
-            self.count(kind_of_effect(effect));
-            for command in commands_of(effect) {
-                self.count(command);
+            self.increment(kind_of_effect(effect));
+            for command in worker_commands_in(effect) {
+                self.increment(command);
             }
         }
         if step.outcome.status.leading {
@@ -62,7 +62,7 @@
 }
 
 /// What the recorded scripts must contain.
-const KINDS: [&str; 56] = [
+const REQUIRED_KINDS: [&str; 56] = [
     "command Heartbeat",
     "command Heartbeat with a preemption notice",
     "command TaskCounts",
@@ -104,9 +104,9 @@
     "effect Cloud Types",
     "command StoreAnswer Conflict",
     "batch of several commands",
-    "told launch",
-    "told kill",
-    "told forget",
+    "worker command launch",
+    "worker command kill",
+    "worker command forget",
     "task fetching",
     "task gathering",
     "task running",
@@ -122,20 +122,20 @@
 ];
 
 /// The name of a variant of the script's own types.
-fn variant(value: &impl std::fmt::Debug) -> String {
+fn variant_name(value: &impl std::fmt::Debug) -> String {
     let text = format!("{value:?}");
     let end = text.find(|letter: char| !letter.is_alphanumeric());
     text[..end.unwrap_or(text.len())].to_owned()
 }
 
 fn kind_of_command(command: &script::Command) -> String {
-    let kind = variant(command);
+    let kind = variant_name(command);
     match command {
         script::Command::StoreAnswer { answer, .. } => {
-            format!("command {kind} {}", variant(answer))
+            format!("command {kind} {}", variant_name(answer))
         }
         script::Command::CloudAnswer { answer, .. } => {
-            format!("command {kind} {}", variant(answer))
+            format!("command {kind} {}", variant_name(answer))
         }
         script::Command::Heartbeat { body, .. } if has_notice(body) => {
             format!("command {kind} with a preemption notice")
@@ -163,7 +163,7 @@
 }
 
 /// The commands that an effect sends to a worker.
-fn commands_of(effect: &script::Effect) -> Vec<String> {
+fn worker_commands_in(effect: &script::Effect) -> Vec<String> {
     let (script::Effect::WorkerCommands { body, .. }
     | script::Effect::Reply {
         reply: script::Reply::HeartbeatAnswer(body),
@@ -172,22 +172,23 @@
     else {
         return Vec::new();
     };
-    let answer = body.decoded();
-    let command = |order: &rmpv::Value| format!("told {}", order["verb"].as_str().unwrap());
-    answer["orders"]
+    let message = body.decoded();
+    let kind =
+        |command: &rmpv::Value| format!("worker command {}", command["verb"].as_str().unwrap());
+    message["orders"]
         .as_array()
         .unwrap()
         .iter()
-        .map(command)
+        .map(kind)
         .collect()
 }
 
 fn kind_of_effect(effect: &script::Effect) -> String {
-    let kind = variant(effect);
+    let kind = variant_name(effect);
     match effect {
-        script::Effect::Reply { reply, .. } => format!("effect {kind} {}", variant(reply)),
-        script::Effect::Store { request, .. } => format!("effect {kind} {}", variant(request)),
-        script::Effect::Cloud { request, .. } => format!("effect {kind} {}", variant(request)),
+        script::Effect::Reply { reply, .. } => format!("effect {kind} {}", variant_name(reply)),
+        script::Effect::Store { request, .. } => format!("effect {kind} {}", variant_name(request)),
+        script::Effect::Cloud { request, .. } => format!("effect {kind} {}", variant_name(request)),
         script::Effect::WorkerCommands { .. } => format!("effect {kind}"),
     }
 }
--- a/src/engine/tests/replay/recorder.rs
+++ b/src/engine/tests/replay/recorder.rs
@@ -1,6 +1,6 @@
 //! Records the commands that the engines of a simulated cluster get, and their effects.
 
-use super::mirror;
+use super::conversion;
 use super::script::{Command, Process, Script, Step};
 use crate::engine::{self, Effect, EngineStatus};
 use std::collections::BTreeMap;
@@ -9,31 +9,31 @@
 pub(crate) struct Recorder {
     script: Script,
     /// The process in the script that each node runs now.
-    current: BTreeMap<usize, usize>,
+    current_process: BTreeMap<usize, usize>,
 }
 
 impl Recorder {
     /// A node's process starts.
-    pub(crate) fn start(&mut self, process: Process) {
+    pub(crate) fn start_process(&mut self, process: Process) {
         let position = self.script.processes.len();
-        self.current.insert(process.node, position);
+        self.current_process.insert(process.node, position);
         self.script.processes.push(process);
     }
 
     /// A node's engine took a step.
-    pub(crate) fn record(
+    pub(crate) fn record_step(
         &mut self,
         node: usize,
         input: Input,
         effects: &[Effect],
-        view: &EngineStatus,
+        status: &EngineStatus,
     ) {
-        let position = self.current[&node];
+        let position = self.current_process[&node];
         self.script.processes[position].steps.push(Step {
-            now: input.now,
+            now: input.uptime,
             unix_time: input.unix_time,
             commands: input.commands,
-            outcome: mirror::outcome(effects, view),
+            outcome: conversion::record_outcome(effects, status),
         });
     }
 
@@ -44,17 +44,17 @@
 
 /// What a step was given, taken before the engine consumes it.
 pub(crate) struct Input {
-    now: u64,
+    uptime: u64,
     unix_time: u64,
     commands: Vec<Command>,
 }
 
 impl Input {
-    pub(crate) fn new(now: u64, unix_time: u64, commands: &[engine::Command]) -> Input {
+    pub(crate) fn new(uptime: u64, unix_time: u64, commands: &[engine::Command]) -> Input {
         Input {
-            now,
+            uptime,
             unix_time,
-            commands: commands.iter().map(mirror::record_command).collect(),
+            commands: commands.iter().map(conversion::record_command).collect(),
         }
     }
 }
--- a/src/engine/tests/replay/scenarios/jobs.rs
+++ b/src/engine/tests/replay/scenarios/jobs.rs
@@ -5,7 +5,7 @@
 use crate::wire::user::JobKind;
 use crate::wire::worker::ExitReason;
 
-pub(super) fn jobs_of_all_kinds_and_a_leader_lost(cluster: &mut SimulatedCluster) {
+pub(super) fn all_job_kinds_and_a_leader_crash(cluster: &mut SimulatedCluster) {
     cluster.run(2_000);
     cluster.submit(short_job("run-1", JobKind::Array, 7));
     cluster.submit(short_job("run-2", JobKind::Gang, 3));
--- a/src/engine/tests/replay/scenarios/load.rs
+++ b/src/engine/tests/replay/scenarios/load.rs
@@ -78,7 +78,7 @@
     cluster.run(40_000);
 }
 
-pub(super) fn a_large_gang_under_a_stream_of_small_work(cluster: &mut SimulatedCluster) {
+pub(super) fn large_gang_during_steady_small_jobs(cluster: &mut SimulatedCluster) {
     cluster.faults.zone_capacity = Some(7);
     cluster.run(2_000);
     for second in 0..190 {
--- a/src/engine/tests/replay/scenarios/mod.rs
+++ b/src/engine/tests/replay/scenarios/mod.rs
@@ -12,14 +12,14 @@
     pub(crate) name: &'static str,
     /// The team's limit.
     gpus_max: f64,
-    play: fn(&mut SimulatedCluster),
+    run: fn(&mut SimulatedCluster),
 }
 
 impl Scenario {
     pub(crate) fn record(&self) -> Script {
         let mut cluster = SimulatedCluster::new(3, self.gpus_max);
         cluster.start_recording();
-        (self.play)(&mut cluster);
+        (self.run)(&mut cluster);
         cluster.finish_recording()
     }
 }
@@ -28,41 +28,41 @@
     Scenario {
         name: "kinds",
         gpus_max: 12.0,
-        play: jobs::jobs_of_all_kinds_and_a_leader_lost,
+        run: jobs::all_job_kinds_and_a_leader_crash,
     },
     Scenario {
         name: "dependencies",
         gpus_max: 12.0,
-        play: jobs::dependencies_and_cancellations,
+        run: jobs::dependencies_and_cancellations,
     },
     Scenario {
         name: "preemption",
         gpus_max: 40.0,
-        play: load::preemption_and_reclaimed_machines,
+        run: load::preemption_and_reclaimed_machines,
     },
     Scenario {
         name: "machines",
         gpus_max: 12.0,
-        play: faults::machines_lost_and_wrong_lists,
+        run: faults::lost_machines_and_faulty_machine_lists,
     },
     Scenario {
         name: "partitions",
         gpus_max: 12.0,
-        play: faults::partitions_and_unanswered_calls,
+        run: faults::partitions_and_unanswered_calls,
     },
     Scenario {
         name: "consolidation",
         gpus_max: 12.0,
-        play: faults::consolidation_of_half_empty_machines,
+        run: faults::consolidation_of_half_empty_machines,
     },
     Scenario {
         name: "load",
         gpus_max: 48.0,
-        play: load::load_in_batches,
+        run: load::load_in_batches,
     },
     Scenario {
         name: "starvation",
         gpus_max: 400.0,
-        play: load::a_large_gang_under_a_stream_of_small_work,
+        run: load::large_gang_during_steady_small_jobs,
     },
 ];
--- a/src/engine/tests/simulated_cluster/cloud.rs
+++ b/src/engine/tests/simulated_cluster/cloud.rs
@@ -39,7 +39,7 @@
 
 /// A worker's machine, as the cloud lists it.
 fn listed_worker(name: &str, worker: &Worker, now: Millis) -> ListedMachine {
-    let age = (now + BOOT_TIME).saturating_sub(worker.up_at);
+    let age = (now + BOOT_TIME).saturating_sub(worker.booted_at);
     let age_s = age as f64 / 1000.0;
     listed_machine(name.into(), &worker.zone, MachineState::Running, age_s)
 }
@@ -109,14 +109,14 @@
             MachineListFault::FirstPageRepeated => String::new(),
             _ => after,
         };
-        let mut rest = self.workers.iter().filter(|(name, _)| **name > after);
-        let workers = rest
+        let mut remaining = self.workers.iter().filter(|(name, _)| **name > after);
+        let workers = remaining
             .by_ref()
             .take(constants::MACHINE_LIST_PAGE_ITEMS as usize);
         let mut machines: Vec<ListedMachine> = workers
             .map(|(name, worker)| listed_worker(name, worker, self.now))
             .collect();
-        let mut has_more = rest.next().is_some();
+        let mut has_more = remaining.next().is_some();
         match self.faults.machine_list {
             MachineListFault::None => {}
             MachineListFault::FirstPageRepeated => has_more = true,
--- a/src/engine/tests/simulated_cluster/effects.rs
+++ b/src/engine/tests/simulated_cluster/effects.rs
@@ -63,7 +63,7 @@
                 caller,
                 prefix,
                 after,
-                until: self.now + jitter + whole_millis(wait),
+                deadline: self.now + jitter + whole_millis(wait),
             };
             return match jitter {
                 0 => self.handle(Event::Watch(watch)),
--- a/src/engine/tests/simulated_cluster/inspection.rs
+++ b/src/engine/tests/simulated_cluster/inspection.rs
@@ -41,11 +41,11 @@
 
     /// Tasks of a job that run, on any machine.
     pub(crate) fn running_tasks(&self, id: &str) -> usize {
-        let runs = |(task, state): &(&String, &WorkerTask)| {
+        let is_running = |(task, state): &(&String, &WorkerTask)| {
             is_task_of(task, id) && state.state == TaskState::Running
         };
-        let running = |worker: &Worker| worker.tasks.iter().filter(runs).count();
-        self.workers.values().map(running).sum()
+        let count_running = |worker: &Worker| worker.tasks.iter().filter(is_running).count();
+        self.workers.values().map(count_running).sum()
     }
 
     /// Tasks of all jobs that run, except on machines that hang.
@@ -103,7 +103,9 @@
     /// The workers and their tasks, for the message of a failed test.
     pub(crate) fn describe(&self) -> String {
         let workers = self.workers.iter();
-        let lines: Vec<String> = workers.map(|(name, it)| it.describe(name)).collect();
+        let lines: Vec<String> = workers
+            .map(|(name, worker)| worker.describe(name))
+            .collect();
         format!(
             "leader {:?}, returned {:?}\n{}",
             self.leader(),
--- a/src/engine/tests/simulated_cluster/invariants.rs
+++ b/src/engine/tests/simulated_cluster/invariants.rs
@@ -19,7 +19,7 @@
     /// cancellation, and within the limits of team and machine.
     pub(super) fn check_start(&mut self, machine: &str, task: &str) {
         let job = job_of(task);
-        if self.machines_with(task) > 1 {
+        if self.active_machine_count(task) > 1 {
             self.record_violation(&format!("duplicate task {task}"));
         }
         for dependency in self.jobs[job].depends_on.clone() {
@@ -35,31 +35,33 @@
     }
 
     /// On how many machines a task has not exited.
-    fn machines_with(&self, task: &str) -> usize {
+    fn active_machine_count(&self, task: &str) -> usize {
         let machines = self.machines_of_task.get(task).into_iter().flatten();
         let workers = machines.filter_map(|machine| self.workers.get(machine));
         let tasks = workers.filter_map(|worker| worker.tasks.get(task));
-        tasks.filter(|it| it.state != TaskState::Exited).count()
+        tasks
+            .filter(|worker_task| worker_task.state != TaskState::Exited)
+            .count()
     }
 
     /// Neither the team nor the machine is over its limit.
     fn check_gpus(&mut self, machine: &str) {
         if self.gpus_max < UNLIMITED_GPUS {
             let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
-            let used: f64 = tasks.map(|task| self.gpus_of(task)).sum();
+            let used: f64 = tasks.map(|task| self.gpus_in_use(task)).sum();
             if used > self.gpus_max {
                 self.record_violation(&format!("the team uses {used} GPUs"));
             }
         }
         let tasks = self.workers[machine].tasks.iter();
-        let used: f64 = tasks.map(|task| self.gpus_of(task)).sum();
+        let used: f64 = tasks.map(|task| self.gpus_in_use(task)).sum();
         if used > MACHINE_GPUS {
             self.record_violation(&format!("{machine} uses {used} GPUs"));
         }
     }
 
     /// The GPUs that a task uses now.
-    fn gpus_of(&self, (id, task): (&String, &WorkerTask)) -> f64 {
+    fn gpus_in_use(&self, (id, task): (&String, &WorkerTask)) -> f64 {
         match task.state {
             TaskState::Exited => 0.0,
             _ => self.jobs[job_of(id)].gpus,
@@ -94,9 +96,9 @@
 
     fn check_final_record(&mut self, job: &str, value: &rmpv::Value) {
         let state = records::read_final(value.clone()).map(|record| record.state);
-        let earlier = self.final_state(job);
-        if earlier.is_some() && earlier != state {
-            self.record_violation(&format!("{job} goes from {earlier:?} to {state:?}"));
+        let previous_state = self.final_state(job);
+        if previous_state.is_some() && previous_state != state {
+            self.record_violation(&format!("{job} goes from {previous_state:?} to {state:?}"));
         }
         let required = match self.jobs[job].kind {
             JobKind::Gang => 1,
--- a/src/engine/tests/simulated_cluster/mod.rs
+++ b/src/engine/tests/simulated_cluster/mod.rs
@@ -20,7 +20,7 @@
 mod workers;
 
 pub(crate) use faults::{Faults, MachineListFault};
-pub(crate) use settings::settings_of;
+pub(crate) use settings::node_settings;
 pub(crate) use workers::{Worker, WorkerTask};
 
 use super::replay::Recorder;
@@ -130,7 +130,7 @@
         upcoming_limits: &'static str,
     ) -> SimulatedCluster {
         let text = settings::settings_text(gpus_max, upcoming_limits);
-        let zone_of = |node| settings_of(&text, node, nodes).zone;
+        let zone_of = |node| node_settings(&text, node, nodes).zone;
         let mut cluster = SimulatedCluster {
             now: 0,
             last_sequence: 0,
--- a/src/engine/tests/simulated_cluster/network.rs
+++ b/src/engine/tests/simulated_cluster/network.rs
@@ -30,8 +30,8 @@
     /// Whether a heartbeat gets to the node, and its reply back.
     pub(super) fn heartbeat_reaches(&self, machine: &str, node: usize) -> bool {
         let hung = self.faults.hung_machines.contains(machine);
-        let lost = self.faults.machines_without_heartbeats.contains(machine);
-        !hung && !lost && self.is_connected(machine, node)
+        let heartbeats_lost = self.faults.machines_without_heartbeats.contains(machine);
+        !hung && !heartbeats_lost && self.is_connected(machine, node)
     }
 
     /// Whether a machine and a node can reach each other.
--- a/src/engine/tests/simulated_cluster/nodes.rs
+++ b/src/engine/tests/simulated_cluster/nodes.rs
@@ -1,7 +1,7 @@
 //! The simulated nodes: their processes, and the steps of their engines.
 
 use super::events::Event;
-use super::settings::{node_name, settings_of, settings_text};
+use super::settings::{node_name, node_settings, settings_text};
 use super::{Millis, SimulatedCluster};
 use crate::engine::{Command, Engine};
 use crate::model::UnixTime;
@@ -54,7 +54,7 @@
 }
 
 /// What a step begins with.
-fn kind_of_step(command: Option<&Command>) -> &'static str {
+fn step_kind(command: Option<&Command>) -> &'static str {
     match command {
         None => "a tick",
         Some(Command::Heartbeat { .. }) => "a heartbeat",
@@ -73,12 +73,12 @@
     /// Starts a node's process.
     pub(crate) fn start(&mut self, node: usize) {
         let text = settings_text(self.gpus_max, self.upcoming_limits);
-        let settings = Arc::new(settings_of(&text, node, self.nodes.len()));
+        let settings = Arc::new(node_settings(&text, node, self.nodes.len()));
         self.nodes[node].epoch += 1;
         self.nodes[node].started_at = self.now;
         let seed = self.seed_of(node);
         self.nodes[node].engine = Some(Engine::new(settings, seed));
-        self.record_start(node);
+        self.record_process_start(node);
         self.schedule(0, Event::Tick { node });
         self.schedule(FIRST_ANNOUNCEMENT_AFTER, Event::Announce { node });
     }
@@ -92,7 +92,7 @@
     pub(crate) fn crash(&mut self, node: usize) {
         self.nodes[node].engine = None;
         self.nodes[node].epoch += 1;
-        self.store.end_watches_of(node);
+        self.store.remove_watches_of_node(node);
     }
 
     /// Ends the leader's process; the node that led.
@@ -128,7 +128,10 @@
     /// The node that leads, by the latest term if several think that they do.
     pub(crate) fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
-            .filter(|node| self.engine(*node).is_some_and(|it| it.status().leading))
+            .filter(|node| {
+                self.engine(*node)
+                    .is_some_and(|engine| engine.status().leading)
+            })
             .max_by_key(|node| self.engine(*node).map(|engine| engine.status().term))
     }
 
@@ -179,7 +182,7 @@
         };
         // Each process has a monotonic clock of its own.
         let (uptime, unix_time) = (self.now - node.started_at, self.now);
-        let kind = kind_of_step(batch.first());
+        let kind = step_kind(batch.first());
         let recording =
             super::recording::Recording::begin(self.recorder.as_mut(), uptime, unix_time, &batch);
         let begun_at = Instant::now();
@@ -193,8 +196,8 @@
         self.engine_time += duration;
         let longest = self.longest_steps.entry(kind).or_default();
         *longest = duration.max(*longest);
-        let small = self.workers.len() < SMALL_FLEET_MACHINES;
-        if small || self.last_sequence.is_multiple_of(SNAPSHOT_CHECK_EVENTS) {
+        let is_small_fleet = self.workers.len() < SMALL_FLEET_MACHINES;
+        if is_small_fleet || self.last_sequence.is_multiple_of(SNAPSHOT_CHECK_EVENTS) {
             assert!(engine.snapshots_agree(), "a machine's snapshot is stale");
         }
         for effect in effects {
--- a/src/engine/tests/simulated_cluster/recording.rs
+++ b/src/engine/tests/simulated_cluster/recording.rs
@@ -22,7 +22,7 @@
     /// Records the step with its effects.
     pub(super) fn finish(self, node: usize, effects: &[Effect], engine: &Engine) {
         if let Some((recorder, input)) = self.0 {
-            recorder.record(node, input, effects, &engine.status());
+            recorder.record_step(node, input, effects, &engine.status());
         }
     }
 }
@@ -32,7 +32,7 @@
     pub(crate) fn start_recording(&mut self) {
         self.recorder = Some(Recorder::default());
         for node in 0..self.nodes.len() {
-            self.record_start(node);
+            self.record_process_start(node);
         }
     }
 
@@ -41,10 +41,10 @@
         self.recorder.take().unwrap().finish()
     }
 
-    pub(super) fn record_start(&mut self, node: usize) {
+    pub(super) fn record_process_start(&mut self, node: usize) {
         let seed = self.seed_of(node);
         if let Some(recorder) = &mut self.recorder {
-            recorder.start(Process {
+            recorder.start_process(Process {
                 settings: settings_text(self.gpus_max, self.upcoming_limits),
                 node,
                 nodes: self.nodes.len(),
--- a/src/engine/tests/simulated_cluster/settings.rs
+++ b/src/engine/tests/simulated_cluster/settings.rs
@@ -10,7 +10,7 @@
 }
 
 /// The settings of one of that many nodes, from a file's text.
-pub(crate) fn settings_of(text: &str, node: usize, nodes: usize) -> Settings {
+pub(crate) fn node_settings(text: &str, node: usize, nodes: usize) -> Settings {
     let mut settings = Settings::parse(text, "sample").unwrap();
     let sample_peer = settings.peers[0].clone();
     settings.node = node_name(node);
@@ -32,7 +32,7 @@
 }
 
 /// The node of a name.
-pub(super) fn node_of_name(name: &str) -> usize {
+pub(super) fn node_index(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
 
--- a/src/engine/tests/simulated_cluster/state_service/commits.rs
+++ b/src/engine/tests/simulated_cluster/state_service/commits.rs
@@ -25,7 +25,8 @@
     fn conflicts(&self, transaction: &Transaction) -> Vec<String> {
         let version = |key: &str| self.values.get(key).map_or(0, |stored| stored.version);
         let comparisons = transaction.comparisons.iter();
-        let failed = comparisons.filter(|it| version(&it.key) != it.version);
+        let failed =
+            comparisons.filter(|comparison| version(&comparison.key) != comparison.version);
         failed.map(|comparison| comparison.key.clone()).collect()
     }
 
--- a/src/engine/tests/simulated_cluster/state_service/mod.rs
+++ b/src/engine/tests/simulated_cluster/state_service/mod.rs
@@ -65,13 +65,13 @@
     }
 
     /// Forgets the watches of a node whose process has ended.
-    pub(super) fn end_watches_of(&mut self, node: usize) {
+    pub(super) fn remove_watches_of_node(&mut self, node: usize) {
         self.watches
             .retain(|watch| watch.caller.process.node != node);
     }
 
     /// A page of the keys with a prefix, after that key if one is given.
-    fn list(&self, prefix: &str, after: Option<&String>, page_items: usize) -> Listing {
+    fn list_page(&self, prefix: &str, after: Option<&String>, page_items: usize) -> Listing {
         let from = after.map_or(prefix, String::as_str);
         let mut values = self
             .values
@@ -103,11 +103,16 @@
 impl SimulatedCluster {
     /// Executes a call, and sends its reply.
     pub(super) fn serve_store_call(&mut self, caller: Caller, call: &StoreCall) {
-        let refused = self.refuses(caller, call);
+        let refused = self.is_refused(caller, call);
         if let StoreCall::Commit(transaction) = call {
             let comparisons = &transaction.comparisons;
-            let fenced = comparisons.iter().any(|it| it.key == records::LEADER_KEY);
-            assert!(fenced, "no comparison of the leader's key: {transaction:?}");
+            let compares_leader = comparisons
+                .iter()
+                .any(|comparison| comparison.key == records::LEADER_KEY);
+            assert!(
+                compares_leader,
+                "no comparison of the leader's key: {transaction:?}"
+            );
             if !refused && let Some(delay) = self.delay_of_commit(transaction) {
                 return self.delay_commit(caller, transaction, delay);
             }
@@ -124,7 +129,7 @@
         self.serve_watches();
     }
 
-    fn refuses(&self, caller: Caller, call: &StoreCall) -> bool {
+    fn is_refused(&self, caller: Caller, call: &StoreCall) -> bool {
         let faults = &self.faults;
         let lists_records = matches!(
             call,
@@ -166,7 +171,9 @@
                 Ok(StoreReply::Item(stored.map(|stored| stored.item(key))))
             }
             StoreCall::List { prefix, after } => {
-                let listing = self.store.list(prefix, after.as_ref(), self.page_items);
+                let listing = self
+                    .store
+                    .list_page(prefix, after.as_ref(), self.page_items);
                 Ok(StoreReply::Listing(listing))
             }
             StoreCall::Commit(transaction) => self.commit_with_lost_reply(transaction),
--- a/src/engine/tests/simulated_cluster/state_service/watches.rs
+++ b/src/engine/tests/simulated_cluster/state_service/watches.rs
@@ -16,7 +16,7 @@
     /// The revision after which changes are wanted.
     pub(in super::super) after: u64,
     /// When it is answered without a change.
-    pub(in super::super) until: Millis,
+    pub(in super::super) deadline: Millis,
 }
 
 fn key_of(event: &WatchEvent) -> &str {
@@ -27,10 +27,10 @@
 
 impl StateService {
     fn changes_for(&self, watch: &Watch) -> Vec<WatchEvent> {
-        let seen = self
+        let first_new = self
             .log
             .partition_point(|change| change.revision <= watch.after);
-        let events = self.log[seen..].iter().map(|change| &change.event);
+        let events = self.log[first_new..].iter().map(|change| &change.event);
         let watched = events.filter(|event| key_of(event).starts_with(&watch.prefix));
         watched.cloned().collect()
     }
@@ -65,7 +65,7 @@
     /// The reply to a watch; none if it has to wait.
     fn watch_result(&self, watch: &Watch) -> Option<Result<StoreReply, StoreError>> {
         let slack = constants::WATCH_SLACK.as_millis() as Millis;
-        if self.now >= watch.until + slack {
+        if self.now >= watch.deadline + slack {
             // The caller has given up.
             return Some(Err(StoreError::Unknown("no answer".into())));
         }
@@ -74,7 +74,7 @@
             return None;
         }
         let events = self.store.changes_for(watch);
-        if events.is_empty() && self.now < watch.until {
+        if events.is_empty() && self.now < watch.deadline {
             return None;
         }
         let revision = self.store.revision;
--- a/src/engine/tests/simulated_cluster/users.rs
+++ b/src/engine/tests/simulated_cluster/users.rs
@@ -34,7 +34,9 @@
     /// The state of a blocked job that a node gives; none if it can't tell in time.
     pub(crate) fn blocked_job_state(&mut self, node: usize, id: &str) -> Option<JobState> {
         let reply = self.request_blocked_job_state(node, id);
-        self.run_until(QUERY_TIMEOUT, |w| w.query_replies.contains_key(&reply));
+        self.run_until(QUERY_TIMEOUT, |cluster| {
+            cluster.query_replies.contains_key(&reply)
+        });
         match self.take_reply(reply) {
             Some(Reply::BlockedJobState(state)) => state,
             _ => None,
@@ -45,14 +47,14 @@
     pub(crate) fn request_task_counts(&mut self, node: usize, id: &str) {
         let reply = self.next_sequence();
         let job = id.into();
-        self.tell(node, Command::CountTasks { job, reply });
+        self.step_with_command(node, Command::CountTasks { job, reply });
     }
 
     /// Asks a node for the state of a blocked job.
     pub(crate) fn request_blocked_job_state(&mut self, node: usize, id: &str) -> ReplyId {
         let reply = self.next_sequence();
         let job = id.into();
-        self.tell(node, Command::QueryBlockedJob { job, reply });
+        self.step_with_command(node, Command::QueryBlockedJob { job, reply });
         reply
     }
 
@@ -65,7 +67,7 @@
     pub(crate) fn unknown_jobs(&mut self, node: usize, ids: &[&str]) -> Vec<String> {
         let reply = self.next_sequence();
         let jobs = ids.iter().map(|id| (*id).into()).collect();
-        self.tell(node, Command::FindUnknownJobs { jobs, reply });
+        self.step_with_command(node, Command::FindUnknownJobs { jobs, reply });
         match self.take_reply(reply) {
             Some(Reply::UnknownJobs(jobs)) => jobs.iter().map(ToString::to_string).collect(),
             other => panic!("{other:?}"),
@@ -74,11 +76,11 @@
 
     /// The node that confirmed a cancellation announces it to another one.
     pub(crate) fn announce_cancellation(&mut self, node: usize, id: &str) {
-        self.tell(node, Command::JobCancelled(id.into()));
+        self.step_with_command(node, Command::JobCancelled(id.into()));
     }
 
     /// A node's engine gets a command without delay.
-    pub(super) fn tell(&mut self, node: usize, command: Command) {
+    pub(super) fn step_with_command(&mut self, node: usize, command: Command) {
         self.step(self.process_of(node), vec![command]);
     }
 
--- a/src/engine/tests/simulated_cluster/workers/commands.rs
+++ b/src/engine/tests/simulated_cluster/workers/commands.rs
@@ -19,9 +19,9 @@
     }
 
     fn forget_task(&mut self, id: &str, attempt: u64) {
-        let is_over =
+        let is_exited_attempt =
             |task: &WorkerTask| task.attempt == attempt && task.state == TaskState::Exited;
-        if self.tasks.get(id).is_some_and(is_over) {
+        if self.tasks.get(id).is_some_and(is_exited_attempt) {
             self.tasks.remove(id);
         }
     }
@@ -58,7 +58,7 @@
         worker.fencing_token = direct.fencing_token;
         worker.sequence += 1;
         // A higher token is reported at once, but not too soon after the last heartbeat.
-        if new_leader && worker.takes_early_heartbeat(self.now) && !worker.awaits_reply {
+        if new_leader && worker.claim_early_heartbeat(self.now) && !worker.awaits_reply {
             let earliest = worker.last_sent_at + MIN_HEARTBEAT_INTERVAL;
             let delay = earliest.saturating_sub(self.now);
             self.schedule_heartbeat(&machine, delay);
--- a/src/engine/tests/simulated_cluster/workers/heartbeats.rs
+++ b/src/engine/tests/simulated_cluster/workers/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of the workers, and the replies to them.
 
 use super::super::events::Event;
-use super::super::settings::node_of_name;
+use super::super::settings::node_index;
 use super::super::{Millis, PendingHeartbeat, SimulatedCluster, cloud::MACHINE_TYPE};
 use super::{WORKER_LEASE, Worker};
 use crate::engine::{Command, Reply};
@@ -45,13 +45,18 @@
     }
 
     /// Whether a reply, or none after the timeout, belongs to the heartbeat in flight.
-    fn expects(&self, sequence: u64, reply: Option<&Reply>, now: Millis) -> bool {
+    fn matches_in_flight_heartbeat(
+        &self,
+        sequence: u64,
+        reply: Option<&Reply>,
+        now: Millis,
+    ) -> bool {
         let too_early = reply.is_none() && self.last_sent_at + REPLY_TIMEOUT > now;
         self.awaits_reply && self.sequence >= sequence && !too_early
     }
 
     /// Whether a higher fencing token makes it send a heartbeat early: once in half a lease.
-    pub(super) fn takes_early_heartbeat(&mut self, now: Millis) -> bool {
+    pub(super) fn claim_early_heartbeat(&mut self, now: Millis) -> bool {
         let last = self.last_early_heartbeat_at;
         let due = last.is_none_or(|at| now >= at + WORKER_LEASE / 2);
         if due {
@@ -85,7 +90,7 @@
         for node in 0..self.nodes.len() {
             for heartbeat in heartbeats.iter().rev().cloned() {
                 let reply = self.next_sequence();
-                self.tell(node, Command::Heartbeat { heartbeat, reply });
+                self.step_with_command(node, Command::Heartbeat { heartbeat, reply });
             }
         }
     }
@@ -140,8 +145,8 @@
         reply: Option<Reply>,
     ) {
         let hung = self.faults.hung_machines.contains(machine);
-        let lost = self.faults.machines_without_replies.contains(machine);
-        if reply.is_some() && (hung || lost) {
+        let replies_lost = self.faults.machines_without_replies.contains(machine);
+        if reply.is_some() && (hung || replies_lost) {
             return;
         }
         let Some(worker) = self.workers.get_mut(machine) else {
@@ -156,14 +161,14 @@
             };
             return self.schedule(MIN_HEARTBEAT_INTERVAL, timeout);
         }
-        if !worker.expects(sequence, reply.as_ref(), self.now) {
+        if !worker.matches_in_flight_heartbeat(sequence, reply.as_ref(), self.now) {
             return;
         }
         worker.awaits_reply = false;
         let delay = match reply {
             Some(Reply::HeartbeatAccepted(response)) => self.accept_response(machine, &response),
             Some(Reply::RedirectToLeader(Some(leader))) => {
-                worker.node = node_of_name(&leader);
+                worker.node = node_index(&leader);
                 REDIRECT_DELAY
             }
             _ => {
@@ -183,12 +188,12 @@
             return HEARTBEAT_INTERVAL;
         }
         let new_leader = response.fencing_token > worker.fencing_token;
-        let early = new_leader && worker.takes_early_heartbeat(self.now);
+        let send_early = new_leader && worker.claim_early_heartbeat(self.now);
         worker.fencing_token = response.fencing_token;
         worker.last_accepted_at = worker.last_sent_at;
         let tasks_before = worker.tasks.len();
         self.execute(machine, &response.commands);
-        if early || self.workers[machine].tasks.len() != tasks_before {
+        if send_early || self.workers[machine].tasks.len() != tasks_before {
             MIN_HEARTBEAT_INTERVAL
         } else {
             HEARTBEAT_INTERVAL
--- a/src/engine/tests/simulated_cluster/workers/mod.rs
+++ b/src/engine/tests/simulated_cluster/workers/mod.rs
@@ -33,7 +33,7 @@
     /// The node that it reports to.
     pub(crate) node: usize,
     /// When the machine has booted.
-    pub(super) up_at: Millis,
+    pub(super) booted_at: Millis,
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
@@ -54,18 +54,18 @@
 }
 
 impl Worker {
-    pub(super) fn new(zone: &str, node: usize, up_at: Millis) -> Worker {
+    pub(super) fn new(zone: &str, node: usize, booted_at: Millis) -> Worker {
         Worker {
             zone: zone.into(),
             node,
-            up_at,
+            booted_at,
             incarnation: 1,
             sequence: 0,
             fencing_token: 0,
             last_sent_at: 0,
             next_heartbeat_at: 0,
             last_early_heartbeat_at: None,
-            last_accepted_at: up_at,
+            last_accepted_at: booted_at,
             awaits_reply: false,
             tasks: BTreeMap::new(),
             cached_images: BTreeSet::new(),
@@ -75,8 +75,8 @@
     }
 
     /// When its lease began for the last time.
-    fn lease_begin(&self) -> Millis {
-        self.last_accepted_at.max(self.up_at)
+    fn lease_started_at(&self) -> Millis {
+        self.last_accepted_at.max(self.booted_at)
     }
 
     /// Goes on without its tasks, in a new incarnation.
--- a/src/engine/tests/simulated_cluster/workers/tasks.rs
+++ b/src/engine/tests/simulated_cluster/workers/tasks.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long an image is fetched that is not in the machine's cache.
-const FETCH_TIME: Millis = 8_000;
+const IMAGE_FETCH_TIME: Millis = 8_000;
 
 /// A task on a worker.
 #[derive(Clone)]
@@ -36,28 +36,28 @@
     run_time: Millis,
 }
 
-fn milliseconds(seconds: f64) -> Millis {
+fn secs_to_millis(seconds: f64) -> Millis {
     (seconds * 1000.0) as Millis
 }
 
 impl TaskContext<'_> {
     fn checkpoint_time(&self) -> Millis {
-        milliseconds(self.job.checkpoint_cost_s)
+        secs_to_millis(self.job.checkpoint_cost_s)
     }
 }
 
 impl WorkerTask {
     /// A task that begins with fetching its image.
     pub(super) fn fetching(attempt: u64, now: Millis) -> WorkerTask {
-        WorkerTask::in_state(TaskState::Fetching, attempt, now)
+        WorkerTask::new(TaskState::Fetching, attempt, now)
     }
 
     /// A task that runs already.
     pub(super) fn running(attempt: u64, now: Millis) -> WorkerTask {
-        WorkerTask::in_state(TaskState::Running, attempt, now)
+        WorkerTask::new(TaskState::Running, attempt, now)
     }
 
-    fn in_state(state: TaskState, attempt: u64, now: Millis) -> WorkerTask {
+    fn new(state: TaskState, attempt: u64, now: Millis) -> WorkerTask {
         WorkerTask {
             attempt,
             state_since: now,
@@ -68,7 +68,7 @@
         }
     }
 
-    fn enter(&mut self, state: TaskState, now: Millis) {
+    fn enter_state(&mut self, state: TaskState, now: Millis) {
         self.state = state;
         self.state_since = now;
     }
@@ -87,7 +87,7 @@
         match self.state {
             TaskState::Fetching if self.has_image(context) => self.finish_fetch(context),
             TaskState::WaitingForGang if now >= self.state_since + context.faults.gang_wait => {
-                self.enter(TaskState::Running, now);
+                self.enter_state(TaskState::Running, now);
             }
             TaskState::Running
                 if context.run_time > 0 && now >= self.state_since + context.run_time =>
@@ -101,7 +101,7 @@
     fn advance_stop(&mut self, context: &TaskContext) {
         match self.state {
             TaskState::Running if context.faults.save_checkpoints => {
-                self.enter(TaskState::Checkpointing, context.now);
+                self.enter_state(TaskState::Checkpointing, context.now);
             }
             TaskState::Checkpointing => {
                 if context.now >= self.state_since + context.checkpoint_time() {
@@ -114,12 +114,12 @@
     }
 
     fn has_image(&self, context: &TaskContext) -> bool {
-        context.image_cached || context.now >= self.state_since + FETCH_TIME
+        context.image_cached || context.now >= self.state_since + IMAGE_FETCH_TIME
     }
 
     fn finish_fetch(&mut self, context: &TaskContext) {
         let (job, faults) = (context.job, context.faults);
-        self.enter(TaskState::Running, context.now);
+        self.enter_state(TaskState::Running, context.now);
         if context.machine_fails || faults.failing_jobs.contains(&job.id) {
             self.exit(ExitReason::Failed);
         } else if let Some(reason) = faults.forced_exits.get(&job.id) {
@@ -132,7 +132,7 @@
     /// When it changes by itself; none: it does not.
     fn next_change_at(&self, context: &TaskContext) -> Option<Millis> {
         let duration = match self.state {
-            TaskState::Fetching => FETCH_TIME,
+            TaskState::Fetching => IMAGE_FETCH_TIME,
             TaskState::WaitingForGang => context.faults.gang_wait,
             TaskState::Checkpointing => context.checkpoint_time(),
             TaskState::Running if context.run_time > 0 => context.run_time,
@@ -153,9 +153,9 @@
 impl Worker {
     /// Restarts if its lease has expired.
     fn expire_lease(&mut self, now: Millis) {
-        self.next_change_at = self.lease_begin() + WORKER_LEASE + 1;
-        let unheard = now.saturating_sub(self.lease_begin());
-        if now >= self.up_at && unheard > WORKER_LEASE {
+        self.next_change_at = self.lease_started_at() + WORKER_LEASE + 1;
+        let since_lease_start = now.saturating_sub(self.lease_started_at());
+        if now >= self.booted_at && since_lease_start > WORKER_LEASE {
             self.restart(now);
         }
     }
@@ -180,14 +180,19 @@
                 faults: environment.faults,
                 machine_fails,
                 image_cached: self.cached_images.contains(&job.image),
-                run_time: milliseconds(job.expected_duration_s) + extra,
+                run_time: secs_to_millis(job.expected_duration_s) + extra,
             };
-            let earlier = task.state;
+            let previous_state = task.state;
             task.advance(&context);
-            if earlier == TaskState::Fetching && task.state != earlier && !task.stopping {
+            if previous_state == TaskState::Fetching
+                && task.state != previous_state
+                && !task.stopping
+            {
                 self.cached_images.insert(job.image.clone());
             }
-            if earlier == TaskState::Running && task.exit_reason == Some(ExitReason::Completed) {
+            if previous_state == TaskState::Running
+                && task.exit_reason == Some(ExitReason::Completed)
+            {
                 completed_tasks.insert(id.clone());
             }
             if let Some(at) = task.next_change_at(&context) {
@@ -210,8 +215,8 @@
             extra_run_time: &self.extra_run_time,
         };
         for (machine, worker) in &mut self.workers {
-            let changes = now >= worker.next_change_at || any_overdue;
-            if !changes || self.faults.hung_machines.contains(machine) {
+            let needs_update = now >= worker.next_change_at || any_overdue;
+            if !needs_update || self.faults.hung_machines.contains(machine) {
                 continue;
             }
             worker.expire_lease(now);
--- a/src/engine/tests/support.rs
+++ b/src/engine/tests/support.rs
@@ -88,16 +88,18 @@
     ];
     jobs[1].spread_zones = true;
     let mut cluster = cluster_with(jobs);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1")
-        + w.running_tasks("run-2")
-        == 8));
+    assert!(
+        cluster.run_until(60_000, |simulation| simulation.running_tasks("run-1")
+            + simulation.running_tasks("run-2")
+            == 8)
+    );
     cluster
 }
 
 /// The job completes in time, and no invariant is violated.
 #[track_caller]
 pub(crate) fn assert_completes(cluster: &mut SimulatedCluster, id: &str, timeout: Millis) {
-    let done = cluster.run_until(timeout, |w| w.is_done(id));
+    let done = cluster.run_until(timeout, |simulation| simulation.is_done(id));
     assert!(
         done,
         "{id} is not done at {}:\n{}",
