--- a/src/engine/tests/simulated_cluster/cloud.rs
+++ b/src/engine/tests/simulated_cluster/cloud.rs
@@ -1,4 +1,4 @@
-//! The simulated cloud.
+//! The simulated cloud: rentals, returns and machine lists.
 
 use super::workers::{BOOT_TIME, MACHINE_GPUS, machine_name};
 use super::{MachineListFault, Millis, SimulatedCluster, Worker};
@@ -8,9 +8,10 @@
     ListedMachine, MachinePage, MachineState, MachineType, MachineTypeList, RentRequest,
 };
 
-/// The only machine type.
+/// Name of the only machine type.
 pub(super) const MACHINE_TYPE: &str = "g8";
 
+/// Returns the description of the only machine type.
 fn machine_type() -> MachineType {
     MachineType {
         name: MACHINE_TYPE.into(),
@@ -37,7 +38,7 @@
     }
 }
 
-/// A worker's machine, as the cloud lists it.
+/// Returns the entry of a worker's machine in the cloud's list. The age counts from the rental.
 fn listed_worker(name: &str, worker: &Worker, now: Millis) -> ListedMachine {
     let age = (now + BOOT_TIME).saturating_sub(worker.booted_at);
     let age_s = age as f64 / 1000.0;
@@ -45,6 +46,12 @@
 }
 
 impl SimulatedCluster {
+    /// Executes a call to the cloud.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`CloudError::Failed`] for every call while the cloud is unavailable, and
+    /// [`CloudError::NoCapacity`] for a rental in a zone without capacity.
     pub(super) fn serve_cloud_call(&mut self, call: CloudCall) -> Result<CloudReply, CloudError> {
         if self.faults.cloud_unavailable {
             return Err(CloudError::Failed("trouble".into()));
@@ -68,7 +75,12 @@
         }
     }
 
-    /// Rents as many machines as the zone has, unless the request was executed before.
+    /// Rents the requested machines, limited by the zone's capacity. A repeated request returns the
+    /// machines of its first execution.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`CloudError::NoCapacity`] if the zone has no capacity left.
     fn rent(&mut self, request: RentRequest) -> Result<CloudReply, CloudError> {
         if let Some(names) = self.rent_requests.get(&request.request_id) {
             return Ok(CloudReply::Rented(names.clone()));
@@ -90,10 +102,11 @@
         Ok(CloudReply::Rented(names))
     }
 
+    /// Adds a machine that is booting, and returns its name.
     fn boot_machine(&mut self, zone: &str) -> String {
         let name = machine_name(self.machines_rented);
         self.machines_rented += 1;
-        // Workers know all nodes and report to any of them first.
+        // Workers know the addresses of all nodes and may send the first heartbeat to any node.
         let any_node = self.machines_rented as usize % self.nodes.len();
         let node = self.initial_node.unwrap_or(any_node);
         let worker = Worker::new(zone, node, self.now + BOOT_TIME);
@@ -102,7 +115,7 @@
         name
     }
 
-    /// A page of the machine list, with the fault that is in effect.
+    /// Returns a page of the machine list, altered by the fault that is in effect.
     fn list_machines(&mut self, after: String) -> MachinePage {
         self.listed_pages += 1;
         let after = match self.faults.machine_list {
--- a/src/engine/tests/simulated_cluster/effects.rs
+++ b/src/engine/tests/simulated_cluster/effects.rs
@@ -1,4 +1,4 @@
-//! What becomes of the effects of an engine's step.
+//! Applies the effects of an engine's step: replies, calls and direct commands.
 
 use super::events::Event;
 use super::nodes::{Caller, ProcessId};
@@ -10,10 +10,11 @@
 use crate::model::whole_millis;
 use crate::store::StoreCall;
 
-/// The time of a call to the cloud without jitter.
+/// Latency of a call to the cloud without jitter.
 const CLOUD_LATENCY: Millis = 80;
 
 impl SimulatedCluster {
+    /// Applies one effect of a process's engine.
     pub(super) fn apply_effect(&mut self, process: ProcessId, effect: Effect) {
         match effect {
             Effect::Reply { to, reply } => self.send_reply(process, to, reply),
@@ -35,6 +36,8 @@
         }
     }
 
+    /// Sends the reply to a heartbeat to its worker, if it can be reached, or keeps the reply to a
+    /// query for the test.
     fn send_reply(&mut self, process: ProcessId, to: ReplyId, reply: Reply) {
         let Some(heartbeat) = self.pending_heartbeats.remove(&to) else {
             self.query_replies.insert(to, reply);
@@ -50,7 +53,8 @@
         }
     }
 
-    /// Calls without delay are executed at once.
+    /// Delivers a call to the state service. A call without delay is executed immediately, not as a
+    /// new event.
     fn call_store(&mut self, caller: Caller, call: StoreCall) {
         if let StoreCall::Watch {
             prefix,
@@ -79,7 +83,7 @@
         }
     }
 
-    /// The call is executed at once, and its reply takes its time.
+    /// Executes a call to the cloud immediately and schedules its reply after the call's latency.
     fn call_cloud(&mut self, caller: Caller, call: CloudCall) {
         let list_delay = match call {
             CloudCall::ListMachines { .. } => self.faults.machine_list_delay,
--- a/src/engine/tests/simulated_cluster/events.rs
+++ b/src/engine/tests/simulated_cluster/events.rs
@@ -1,4 +1,4 @@
-//! The queue of events and the fake clock.
+//! The event queue and the fake clock.
 
 use super::nodes::{Caller, ProcessId};
 use super::state_service::Watch;
@@ -8,9 +8,9 @@
 use crate::wire::store::Transaction;
 use crate::wire::worker::{DirectCommands, Heartbeat};
 
-/// Between two steps of an engine to which nothing else happens.
+/// Time between two steps that an engine takes without a command.
 const TICK_INTERVAL: Millis = 200;
-/// How often [`SimulatedCluster::run_until`] looks at its condition.
+/// Time between two evaluations of the condition of [`SimulatedCluster::run_until`].
 const CONDITION_CHECK_INTERVAL: Millis = 100;
 
 /// Something that happens at a scheduled time.
@@ -21,7 +21,7 @@
     Announce { node: usize },
     /// A call arrives at the state service.
     StoreCall { caller: Caller, call: StoreCall },
-    /// A watch begins.
+    /// A watch request arrives at the state service.
     Watch(Watch),
     /// A command arrives at an engine.
     Command {
@@ -30,7 +30,7 @@
     },
     /// A worker's next heartbeat is due.
     SendHeartbeat { machine: String },
-    /// The reply to a heartbeat arrives; none: its timeout has passed.
+    /// The reply to a heartbeat arrives, or the timeout has passed if the reply is `None`.
     ReceiveReply {
         machine: String,
         sequence: u64,
@@ -41,26 +41,27 @@
         machine: String,
         direct: DirectCommands,
     },
-    /// A transaction that its sender has given up is executed.
+    /// A transaction is executed after its sender has timed out.
     LateCommit(Transaction),
-    /// A copy of a heartbeat arrives at all nodes.
+    /// A duplicate of a heartbeat arrives at all nodes.
     DuplicateHeartbeat(Heartbeat),
 }
 
 impl Event {
+    /// Reports whether the event is a command for the given process.
     fn is_command_for(&self, receiver: ProcessId) -> bool {
         matches!(self, Event::Command { process, .. } if *process == receiver)
     }
 }
 
 impl SimulatedCluster {
-    /// Schedules an event after that time.
+    /// Schedules an event after a delay.
     pub(super) fn schedule(&mut self, delay: Millis, event: Event) {
         let sequence = self.next_sequence();
         self.events.insert((self.now + delay, sequence), event);
     }
 
-    /// Lets that time pass.
+    /// Advances the fake clock by a duration and handles all events that become due.
     pub(crate) fn run(&mut self, duration: Millis) {
         let end = self.now + duration;
         while let Some(event) = self.next_event_until(end) {
@@ -71,7 +72,8 @@
         self.now = end;
     }
 
-    /// Lets time pass until the condition holds, but no more than that; whether it holds.
+    /// Advances the fake clock until the condition holds or the timeout has passed. Reports whether
+    /// the condition holds.
     pub(crate) fn run_until(
         &mut self,
         timeout: Millis,
@@ -87,7 +89,8 @@
         condition(self)
     }
 
-    /// Takes the next event that is due by then, and sets the clock to its time.
+    /// Removes and returns the next event that is due at `end` or before, and sets the clock to its
+    /// time.
     fn next_event_until(&mut self, end: Millis) -> Option<Event> {
         let (&(due_at, _), _) = self.events.first_key_value()?;
         if due_at > end {
@@ -97,6 +100,7 @@
         self.events.pop_first().map(|(_, event)| event)
     }
 
+    /// Handles an event that is due.
     pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::Tick { node } => self.tick(node),
@@ -122,13 +126,14 @@
                 self.receive_direct_commands(machine, direct);
             }
             Event::LateCommit(transaction) => {
-                // Its comparisons may well fail by now.
+                // The result is ignored: newer commits may have made the comparisons fail.
                 let _ = self.commit(&transaction);
             }
             Event::DuplicateHeartbeat(heartbeat) => self.redeliver_heartbeats(&[heartbeat]),
         }
     }
 
+    /// Lets a running engine take a step without a command, and schedules the next tick.
     fn tick(&mut self, node: usize) {
         if self.nodes[node].engine.is_some() {
             self.step(self.process_of(node), Vec::new());
@@ -136,7 +141,8 @@
         }
     }
 
-    /// The command, with those for the same process that are due within the batch window.
+    /// Returns the command together with all others for the same process that are due within the
+    /// batch window, and removes those from the queue.
     fn take_batch(&mut self, process: ProcessId, command: Command) -> Vec<Command> {
         let mut batch = vec![command];
         let Some(window) = self.batch_window else {
--- a/src/engine/tests/simulated_cluster/inspection.rs
+++ b/src/engine/tests/simulated_cluster/inspection.rs
@@ -1,4 +1,4 @@
-//! What tests look at: records, tasks and machines.
+//! Accessors with which tests inspect records, tasks and machines.
 
 use super::{SimulatedCluster, Worker, WorkerTask};
 use crate::engine::records::{self, JobRecord};
@@ -6,40 +6,40 @@
 use crate::wire::worker::{Heartbeat, TaskState};
 use std::collections::BTreeSet;
 
-/// Whether the task belongs to the job.
+/// Reports whether a task id belongs to a job.
 fn is_task_of(task: &str, job: &str) -> bool {
     let index = task.strip_prefix(job);
     index.is_some_and(|index| index.starts_with('/'))
 }
 
 impl SimulatedCluster {
-    /// A job's live record.
+    /// Returns a job's live record.
     pub(crate) fn live_record(&self, id: &str) -> Option<JobRecord> {
         records::read_job(self.store.value(&records::job_key(id))?.clone())
     }
 
-    /// Whether a job has a live record: a user can still cancel it.
+    /// Reports whether a job has a live record, so that a user can still cancel the job.
     pub(crate) fn has_live_record(&self, id: &str) -> bool {
         self.store.value(&records::job_key(id)).is_some()
     }
 
-    /// The state in a job's final record.
+    /// Returns the state in a job's final record, if it has one.
     pub(crate) fn final_state(&self, id: &str) -> Option<JobState> {
         let value = self.store.value(&records::final_key(id))?;
         Some(records::read_final(value.clone())?.state)
     }
 
-    /// Whether a job has completed.
+    /// Reports whether a job has completed.
     pub(crate) fn is_done(&self, id: &str) -> bool {
         self.final_state(id) == Some(JobState::Done)
     }
 
-    /// How many keys with a prefix the state service holds.
+    /// Returns the number of keys with a prefix in the state service.
     pub(crate) fn count_keys(&self, prefix: &str) -> usize {
         self.store.count_keys(prefix)
     }
 
-    /// Tasks of a job that run, on any machine.
+    /// Returns the number of running tasks of a job on all machines.
     pub(crate) fn running_tasks(&self, id: &str) -> usize {
         let is_running = |(task, state): &(&String, &WorkerTask)| {
             is_task_of(task, id) && state.state == TaskState::Running
@@ -48,12 +48,13 @@
         self.workers.values().map(count_running).sum()
     }
 
-    /// Tasks of all jobs that run, except on machines that hang.
+    /// Returns the number of running tasks of all jobs, except those on hung machines.
     pub(crate) fn all_running_tasks(&self) -> usize {
         self.running_tasks_of_jobs("run-")
     }
 
-    /// Tasks that run of the jobs with that prefix, except on machines that hang.
+    /// Returns the number of running tasks whose job id starts with `prefix`, except those on hung
+    /// machines.
     pub(crate) fn running_tasks_of_jobs(&self, prefix: &str) -> usize {
         let responds = |name: &&String| !self.faults.hung_machines.contains(*name);
         let workers = self.workers.keys().filter(responds);
@@ -63,7 +64,7 @@
         running.count()
     }
 
-    /// The first machine with a task of the job.
+    /// Returns the first machine, by name, that has a task of the job in any state.
     pub(crate) fn first_machine_of_job(&self, id: &str) -> Option<String> {
         let has_task = |worker: &Worker| worker.tasks.keys().any(|task| is_task_of(task, id));
         let mut machines = self.workers.iter();
@@ -71,19 +72,20 @@
         machine.map(|(name, _)| name.clone())
     }
 
-    /// Machines with any task.
+    /// Returns the machines that have at least one task in any state.
     pub(crate) fn busy_machines(&self) -> BTreeSet<String> {
         let workers = self.workers.iter();
         let busy = workers.filter(|(_, worker)| !worker.tasks.is_empty());
         busy.map(|(name, _)| name.clone()).collect()
     }
 
-    /// The heartbeats that a machine has sent so far.
+    /// Returns all heartbeats that a machine has sent so far, oldest first.
     pub(crate) fn heartbeats_of(&self, machine: &str) -> Vec<Heartbeat> {
         self.workers[machine].sent_heartbeats.clone()
     }
 
-    /// Jobs of which some task neither runs nor has completed.
+    /// Returns the jobs with at least one task that is neither running nor completed, except jobs
+    /// that are done or cancelled.
     pub(crate) fn waiting_jobs(&self) -> Vec<String> {
         let is_open = |id: &&String| !self.cancelled.contains_key(*id) && !self.is_done(id);
         let lacks_tasks = |id: &&String| {
@@ -94,13 +96,14 @@
         jobs.cloned().collect()
     }
 
-    /// How many tasks of a job have completed.
+    /// Returns the number of completed tasks of a job.
     pub(super) fn completed_tasks_of(&self, id: &str) -> usize {
         let tasks = self.completed_tasks.iter();
         tasks.filter(|task| is_task_of(task, id)).count()
     }
 
-    /// The workers and their tasks, for the message of a failed test.
+    /// Describes the leader, the returned machines, and all workers with their tasks, for assertion
+    /// messages.
     pub(crate) fn describe(&self) -> String {
         let workers = self.workers.iter();
         let lines: Vec<String> = workers
--- a/src/engine/tests/simulated_cluster/mod.rs
+++ b/src/engine/tests/simulated_cluster/mod.rs
@@ -1,9 +1,9 @@
-//! A cluster under a fake clock: engines, a state service, a cloud and workers, simulated from the
-//! protocol.
+//! A simulated cluster with a fake clock: real engines, and a state service, a cloud and workers
+//! simulated according to the protocol.
 //!
-//! The simulation is deterministic: events are handled in the order of their time, and of their
-//! scheduling where times are equal. It records violated invariants as the workers and the state
-//! service see them.
+//! The simulation is deterministic: events are handled in the order of their due time, and events
+//! with the same due time in the order in which they were scheduled. Invariants are checked against
+//! the state of the workers and of the state service, and every violation is recorded.
 
 mod cloud;
 mod effects;
@@ -34,96 +34,102 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// An instant or a span of the fake clock, in milliseconds.
+/// An instant or a duration of the fake clock, in milliseconds.
 pub(crate) type Millis = u64;
 
-/// A team's GPU limit from which on it is not checked.
+/// The lowest GPU limit of a team that counts as unlimited: usage is not checked against it.
 pub(crate) const UNLIMITED_GPUS: f64 = 1e6;
 
-/// Items on a page of the state service's lists: few, so that paging is exercised.
+/// Maximum number of items on a page of the state service's listings. It is small so that the tests
+/// exercise paging.
 const PAGE_ITEMS: usize = 5;
-/// The state service's limit on the mutations of a transaction.
+/// Maximum number of mutations in a transaction of the state service.
 const MAX_MUTATIONS: usize = 24;
-/// The state service's limit on the size of a value, in bytes.
+/// Maximum size of a value in the state service, in bytes.
 const MAX_VALUE_BYTES: usize = 7 * 1024;
 
-/// A worker's heartbeat whose reply is still to come.
+/// A worker's heartbeat that has not been answered yet.
 struct PendingHeartbeat {
     machine: String,
     sequence: u64,
 }
 
-/// The whole cluster, with its clock and its queue of events.
+/// The simulated cluster, with its clock and its event queue.
 pub(crate) struct SimulatedCluster {
-    /// The time now.
+    /// The current time of the fake clock.
     pub(crate) now: Millis,
-    /// Numbers events and replies in the order of their creation.
+    /// The last sequence number given to an event or a reply, in order of creation.
     last_sequence: u64,
     events: BTreeMap<(Millis, u64), Event>,
     nodes: Vec<Node>,
     store: StateService,
-    /// The workers by the names of their machines.
+    /// The workers, by the name of their machine.
     pub(crate) workers: BTreeMap<String, Worker>,
     machines_rented: u64,
-    /// The machines of each rent request, which may be repeated.
+    /// The machines rented for each request id, since requests may be retried.
     rent_requests: BTreeMap<String, Vec<String>>,
     pending_heartbeats: BTreeMap<ReplyId, PendingHeartbeat>,
-    /// Replies to anything but heartbeats.
+    /// Replies to queries, that is to all commands except heartbeats.
     query_replies: BTreeMap<ReplyId, Reply>,
-    /// The faults that are in effect now.
+    /// The faults that are currently in effect.
     pub(crate) faults: Faults,
-    /// All jobs that were submitted.
+    /// All submitted jobs, by id.
     pub(crate) jobs: BTreeMap<String, JobSubmission>,
-    /// When each cancelled job was cancelled.
+    /// The cancellation time of each cancelled job.
     pub(crate) cancelled: BTreeMap<String, Millis>,
-    /// Invariants that were violated so far.
+    /// Descriptions of the invariant violations found so far, each with its time.
     pub(crate) violations: Vec<String>,
-    /// Time that the engines took. Only measurements use it, no test depends on it.
+    /// Total real time spent in engine steps. It is only measured; no assertion depends on it.
     pub(crate) engine_time: Duration,
-    /// The longest engine step by what it begins with; likewise.
+    /// The longest engine step in real time, by kind of the step's first command. It is only
+    /// measured; no assertion depends on it.
     pub(crate) longest_steps: BTreeMap<&'static str, Duration>,
-    /// Tasks started so far, each attempt counted.
+    /// Number of tasks started on workers so far, counting each attempt.
     pub(crate) starts: u64,
-    /// Tasks that have completed.
+    /// Ids of the tasks that have completed.
     pub(crate) completed_tasks: BTreeSet<String>,
-    /// Tasks that run for this much longer than their job says.
+    /// Time by which tasks run longer than their job's expected duration, by task id.
     pub(crate) extra_run_time: BTreeMap<String, Millis>,
     heartbeats_sent: u64,
-    /// Pages of the cloud's machine lists so far.
+    /// Number of pages of the machine list that the cloud has returned so far.
     pub(crate) listed_pages: u64,
-    /// The machines on which each task was ever started.
+    /// All machines on which each task has been started, by task id.
     machines_of_task: BTreeMap<String, BTreeSet<String>>,
-    /// Jobs of which some task was started.
+    /// Ids of the jobs of which at least one task has been started.
     pub(crate) started_jobs: BTreeSet<String>,
-    /// Machines that were returned to the cloud, in that order.
+    /// Machines returned to the cloud, in the order of their return.
     pub(crate) returned_machines: Vec<String>,
-    /// The node to which workers of new machines report first; none: any.
+    /// The node to which the workers of new machines send their first heartbeat. If it is `None`,
+    /// the nodes take turns.
     pub(crate) initial_node: Option<usize>,
     /// GPU limit of the only team.
     gpus_max: f64,
-    /// Items on a page of the state service's lists.
+    /// Maximum number of items on a page of the state service's listings.
     pub(crate) page_items: usize,
-    /// The state service's limit on the mutations of a transaction.
+    /// Maximum number of mutations in a transaction of the state service.
     pub(crate) max_mutations: usize,
-    /// The state service's limit on the size of a value, in bytes.
+    /// Maximum size of a value in the state service, in bytes.
     pub(crate) max_value_bytes: usize,
-    /// Settings of the state service's upcoming limits, as text.
+    /// TOML lines with the state service's upcoming limits, inserted into the settings file.
     upcoming_limits: &'static str,
-    /// Decides by how much each message is delayed.
+    /// Random generator for the jitter of messages and calls.
     pub(crate) jitter_rng: SmallRng,
-    /// Commands for a node that are due within this time arrive in one batch; none: one by one.
+    /// Commands for one node that are due within this time arrive as one batch. If it is `None`,
+    /// each command arrives separately.
     pub(crate) batch_window: Option<Millis>,
-    /// Records the engines' steps, if asked to.
+    /// Recorder of the engines' steps, while a recording is in progress.
     recorder: Option<Recorder>,
 }
 
 impl SimulatedCluster {
-    /// A cluster of that many nodes whose only team has that GPU limit.
+    /// Creates a cluster with the given number of nodes, all running, and one team with the given
+    /// GPU limit.
     pub(crate) fn new(nodes: usize, gpus_max: f64) -> SimulatedCluster {
         SimulatedCluster::with_upcoming_limits(nodes, gpus_max, "")
     }
 
-    /// The same, with settings for upcoming limits of the state service.
+    /// Creates a cluster like [`SimulatedCluster::new`], with additional settings for upcoming
+    /// limits of the state service.
     pub(crate) fn with_upcoming_limits(
         nodes: usize,
         gpus_max: f64,
@@ -170,7 +176,7 @@
         cluster
     }
 
-    /// The next number for an event or a reply.
+    /// Returns the next sequence number for an event or a reply.
     fn next_sequence(&mut self) -> u64 {
         self.last_sequence += 1;
         self.last_sequence
--- a/src/engine/tests/simulated_cluster/network.rs
+++ b/src/engine/tests/simulated_cluster/network.rs
@@ -1,14 +1,14 @@
-//! Which messages arrive, and how long they take.
+//! The simulated network: which messages are delivered, and their latency.
 
 use super::events::Event;
 use super::{Millis, SimulatedCluster};
 use rand::Rng;
 
-/// The time of a message without jitter.
+/// Latency of a message without jitter.
 const MESSAGE_LATENCY: Millis = 5;
 
 impl SimulatedCluster {
-    /// How much longer than usual the next message takes.
+    /// Returns the random additional latency of the next message.
     pub(super) fn next_jitter(&mut self) -> Millis {
         match self.faults.max_jitter {
             0 => 0,
@@ -16,25 +16,25 @@
         }
     }
 
-    /// How long the next message takes.
+    /// Returns the latency of the next message, with jitter.
     pub(super) fn next_latency(&mut self) -> Millis {
         MESSAGE_LATENCY + self.next_jitter()
     }
 
-    /// A message arrives, after its latency.
+    /// Schedules the arrival of a message after its latency.
     pub(super) fn deliver(&mut self, event: Event) {
         let latency = self.next_latency();
         self.schedule(latency, event);
     }
 
-    /// Whether a heartbeat gets to the node, and its reply back.
+    /// Reports whether a machine's heartbeats reach a node, and the node's replies the machine.
     pub(super) fn heartbeat_reaches(&self, machine: &str, node: usize) -> bool {
         let hung = self.faults.hung_machines.contains(machine);
         let heartbeats_lost = self.faults.machines_without_heartbeats.contains(machine);
         !hung && !heartbeats_lost && self.is_connected(machine, node)
     }
 
-    /// Whether a machine and a node can reach each other.
+    /// Reports whether a machine and a node can reach each other.
     pub(super) fn is_connected(&self, machine: &str, node: usize) -> bool {
         let Some(worker) = self.workers.get(machine) else {
             return false;
@@ -44,7 +44,7 @@
         !partitioned && !isolated && !self.faults.unreachable_machines.contains(machine)
     }
 
-    /// Whether two nodes can reach each other.
+    /// Reports whether two nodes can reach each other.
     pub(super) fn are_peers_connected(&self, from: usize, to: usize) -> bool {
         let partitioned =
             self.faults.zones_partitioned && self.nodes[to].zone != self.nodes[from].zone;
--- a/src/engine/tests/simulated_cluster/nodes.rs
+++ b/src/engine/tests/simulated_cluster/nodes.rs
@@ -1,4 +1,4 @@
-//! The simulated nodes: their processes, and the steps of their engines.
+//! The simulated nodes: starts and crashes of their processes, and the steps of their engines.
 
 use super::events::Event;
 use super::settings::{node_name, node_settings, settings_text};
@@ -10,19 +10,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// When a process that has started announces itself first.
+/// Time from the start of a process to its first announcement to its peers.
 const FIRST_ANNOUNCEMENT_AFTER: Millis = 100;
-/// Between two announcements of a node.
+/// Time between two announcements of a node.
 const ANNOUNCEMENT_INTERVAL: Millis = 1_000;
-/// In larger fleets the engine's snapshots are checked now and then only.
+/// In fleets of at least this many machines, the engine's snapshots are not checked after every
+/// step, but once per [`SNAPSHOT_CHECK_EVENTS`].
 const SMALL_FLEET_MACHINES: usize = 100;
-/// How often they are checked in larger fleets, counted in events.
+/// Interval between two checks of the engine's snapshots in large fleets, counted in events and
+/// replies.
 const SNAPSHOT_CHECK_EVENTS: u64 = 200;
 
-/// A node, whose process may be down.
+/// A node. Its process may be down.
 pub(super) struct Node {
+    /// The engine of the running process; `None` while the process is down.
     pub(super) engine: Option<Engine>,
-    /// Counts starts and ends of the process.
+    /// Number of times that the process was started or ended.
     pub(super) epoch: u64,
     pub(super) zone: String,
     started_at: Millis,
@@ -39,21 +42,21 @@
     }
 }
 
-/// One process of a node.
+/// Identifies one process of a node, between a start and the next end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ProcessId {
     pub(super) node: usize,
     pub(super) epoch: u64,
 }
 
-/// Who awaits the reply to a call.
+/// The process that waits for the reply to a call, and its id for the call.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Caller {
     pub(super) process: ProcessId,
     pub(super) call_id: u64,
 }
 
-/// What a step begins with.
+/// Describes the first command of a step, or the lack of one.
 fn step_kind(command: Option<&Command>) -> &'static str {
     match command {
         None => "a tick",
@@ -70,7 +73,7 @@
 }
 
 impl SimulatedCluster {
-    /// Starts a node's process.
+    /// Starts a node's process with a new engine.
     pub(crate) fn start(&mut self, node: usize) {
         let text = settings_text(self.gpus_max, self.upcoming_limits);
         let settings = Arc::new(node_settings(&text, node, self.nodes.len()));
@@ -83,19 +86,24 @@
         self.schedule(FIRST_ANNOUNCEMENT_AFTER, Event::Announce { node });
     }
 
-    /// The seed of the engine of a node's process: fixed, so that each run is the same.
+    /// Returns the seed for the engine of a node's current process. It depends only on the node and
+    /// its epoch, so that every run of a test is the same.
     pub(super) fn seed_of(&self, node: usize) -> u64 {
         node as u64 * 1000 + self.nodes[node].epoch
     }
 
-    /// Ends a node's process.
+    /// Ends a node's process without a shutdown.
     pub(crate) fn crash(&mut self, node: usize) {
         self.nodes[node].engine = None;
         self.nodes[node].epoch += 1;
         self.store.remove_watches_of_node(node);
     }
 
-    /// Ends the leader's process; the node that led.
+    /// Ends the leader's process and returns its node.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is no leader.
     pub(crate) fn crash_leader(&mut self) -> usize {
         let leader = self.leader().unwrap();
         self.crash(leader);
@@ -109,7 +117,7 @@
         }
     }
 
-    /// Starts all nodes whose process is down.
+    /// Starts the process of each node whose process is down.
     pub(crate) fn start_all_nodes(&mut self) {
         for node in 0..self.nodes.len() {
             if self.engine(node).is_none() {
@@ -118,14 +126,15 @@
         }
     }
 
-    /// Ends a node's process, and starts it again that much later.
+    /// Ends a node's process, lets the downtime pass, and starts the process again.
     pub(crate) fn restart(&mut self, node: usize, downtime: Millis) {
         self.crash(node);
         self.run(downtime);
         self.start(node);
     }
 
-    /// The node that leads, by the latest term if several think that they do.
+    /// Returns the leader: of the nodes that consider themselves leader, the one with the highest
+    /// term.
     pub(crate) fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
             .filter(|node| {
@@ -135,23 +144,24 @@
             .max_by_key(|node| self.engine(*node).map(|engine| engine.status().term))
     }
 
-    /// The leader's term; 0 without a leader.
+    /// Returns the leader's term, or 0 if there is no leader.
     pub(crate) fn term(&self) -> u64 {
         let leader = self.leader().and_then(|node| self.engine(node));
         leader.map_or(0, |engine| engine.status().term)
     }
 
-    /// The engine of a node, if its process is up.
+    /// Returns the engine of a node, if its process is running.
     pub(crate) fn engine(&self, node: usize) -> Option<&Engine> {
         self.nodes[node].engine.as_ref()
     }
 
-    /// The present process of a node.
+    /// Returns the id of a node's current process.
     pub(super) fn process_of(&self, node: usize) -> ProcessId {
         let epoch = self.nodes[node].epoch;
         ProcessId { node, epoch }
     }
 
+    /// Sends a node's announcement to all peers that it can reach, and schedules the next one.
     pub(super) fn announce(&mut self, from: usize) {
         let Some(status) = self.engine(from).map(Engine::status) else {
             return;
@@ -171,7 +181,12 @@
         self.schedule(ANNOUNCEMENT_INTERVAL, Event::Announce { node: from });
     }
 
-    /// Lets the engine of a process take a step, if that process still runs.
+    /// Calls the engine of a process with a batch of commands and applies the effects. Does nothing
+    /// if the process is no longer running.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a machine's snapshot in the engine is stale.
     pub(super) fn step(&mut self, process: ProcessId, batch: Vec<Command>) {
         let node = &mut self.nodes[process.node];
         if node.epoch != process.epoch {
@@ -180,7 +195,7 @@
         let Some(engine) = node.engine.as_mut() else {
             return;
         };
-        // Each process has a monotonic clock of its own.
+        // The monotonic clock of a process starts at 0 with the process.
         let (uptime, unix_time) = (self.now - node.started_at, self.now);
         let kind = step_kind(batch.first());
         let recording =
--- a/src/engine/tests/simulated_cluster/state_service/commits.rs
+++ b/src/engine/tests/simulated_cluster/state_service/commits.rs
@@ -1,4 +1,4 @@
-//! Transactions: comparisons, limits and late execution.
+//! Transactions: comparisons, limits, and commits that are delayed or whose reply is lost.
 
 use super::super::{Millis, SimulatedCluster};
 use super::{LoggedChange, StateService, StoredValue};
@@ -7,11 +7,11 @@
 use crate::wire::encode;
 use crate::wire::store::{Mutation, Transaction, WatchEvent};
 
-/// The delay of the write that a test asks for.
+/// Delay of the commit that `Faults::delay_next_write` selects.
 const LATE_WRITE_DELAY: Millis = 12_000;
-/// The protocol's limit on a transaction's size, in bytes.
+/// The protocol's limit on the size of an encoded transaction, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// Comparisons that a transaction may have for each mutation.
+/// Ratio of the limit on a transaction's comparisons to the limit on its mutations.
 const COMPARISONS_PER_MUTATION: usize = 4;
 
 fn key_of(mutation: &Mutation) -> &str {
@@ -21,7 +21,7 @@
 }
 
 impl StateService {
-    /// The keys whose comparison fails.
+    /// Returns the keys whose comparison fails.
     fn conflicts(&self, transaction: &Transaction) -> Vec<String> {
         let version = |key: &str| self.values.get(key).map_or(0, |stored| stored.version);
         let comparisons = transaction.comparisons.iter();
@@ -30,6 +30,7 @@
         failed.map(|comparison| comparison.key.clone()).collect()
     }
 
+    /// Applies a mutation and logs the change.
     fn apply(&mut self, mutation: &Mutation, revision: u64) {
         let (key, value, lease) = match mutation {
             Mutation::Put { key, value, lease } => (key, value, lease),
@@ -55,7 +56,7 @@
 }
 
 impl SimulatedCluster {
-    /// By how much a commit is late, if it gets no reply.
+    /// Returns the delay of a commit if a fault selects it for late execution without a reply.
     pub(super) fn delay_of_commit(&mut self, transaction: &Transaction) -> Option<Millis> {
         let mut keys = transaction.mutations.iter().map(key_of);
         if let Some(prefix) = self.faults.delay_next_write
@@ -71,6 +72,13 @@
             .then_some(delay)
     }
 
+    /// Commits a transaction. Every nth reply is lost, as set by
+    /// `Faults::lose_commit_reply_every`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreError::Unknown`] if the reply is lost, otherwise the errors of
+    /// [`SimulatedCluster::commit`].
     pub(super) fn commit_with_lost_reply(
         &mut self,
         transaction: &Transaction,
@@ -84,7 +92,16 @@
         result
     }
 
-    /// Executes a transaction, unless one of its comparisons fails.
+    /// Applies a transaction if all of its comparisons hold.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreError::Malformed`] if the transaction uses a lease that does not exist or has
+    /// expired, and [`StoreError::Conflict`] with the failed keys if a comparison fails.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the transaction exceeds a limit of the state service.
     pub(crate) fn commit(&mut self, transaction: &Transaction) -> Result<StoreReply, StoreError> {
         self.check_limits(transaction);
         let uses_expired_lease = |mutation: &Mutation| match mutation {
@@ -110,23 +127,27 @@
         Ok(StoreReply::Committed { revision })
     }
 
+    /// Asserts that a transaction is within the limits of the state service.
     fn check_limits(&self, transaction: &Transaction) {
         let max_mutations = self.max_mutations;
         let max_comparisons = COMPARISONS_PER_MUTATION * max_mutations;
         assert!(
             transaction.mutations.len() <= max_mutations
                 && transaction.comparisons.len() <= max_comparisons,
-            "over the limits: {transaction:?}"
+            "too many mutations or comparisons: {transaction:?}"
         );
         let size = encode(transaction).len();
         assert!(
             size < MAX_TRANSACTION_BYTES,
-            "a transaction of {size} bytes"
+            "transaction too large: {size} bytes"
         );
         for mutation in &transaction.mutations {
             if let Mutation::Put { key, value, .. } = mutation {
                 let size = records::json_size(value);
-                assert!(size <= self.max_value_bytes, "{key} takes {size} bytes");
+                assert!(
+                    size <= self.max_value_bytes,
+                    "value of {key} too large: {size} bytes"
+                );
             }
         }
     }
--- a/src/engine/tests/simulated_cluster/state_service/leases.rs
+++ b/src/engine/tests/simulated_cluster/state_service/leases.rs
@@ -1,16 +1,17 @@
-//! Leases, and the keys that end with them.
+//! Leases, and the deletion of the keys that are attached to them.
 
 use super::super::{Millis, SimulatedCluster};
 use super::StateService;
 use crate::store::{StoreError, StoreReply};
 
-/// A lease; one that was revoked expires at 0.
+/// A lease. The expiry time of a revoked lease is 0.
 pub(super) struct Lease {
     ttl: Millis,
     expires_at: Millis,
 }
 
 impl StateService {
+    /// Grants a lease and returns its id.
     pub(super) fn grant_lease(&mut self, ttl: Millis, now: Millis) -> u64 {
         let id = self.leases.len() as u64 + 1;
         let expires_at = now + ttl;
@@ -18,6 +19,11 @@
         id
     }
 
+    /// Renews a lease for its full TTL.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreError::NoLease`] if the lease does not exist or has expired.
     pub(super) fn keep_alive(&mut self, id: u64, now: Millis) -> Result<StoreReply, StoreError> {
         let lease = self.leases.get_mut(&id);
         let Some(lease) = lease.filter(|lease| lease.expires_at > now) else {
@@ -27,19 +33,20 @@
         Ok(StoreReply::LeaseUpdated)
     }
 
+    /// Revokes a lease; it counts as expired from then on.
     pub(super) fn revoke_lease(&mut self, id: u64) {
         if let Some(lease) = self.leases.get_mut(&id) {
             lease.expires_at = 0;
         }
     }
 
-    /// Whether there is no such lease, or no more.
+    /// Reports whether a lease does not exist or has expired.
     pub(super) fn is_expired(&self, id: u64, now: Millis) -> bool {
         let lease = self.leases.get(&id);
         lease.is_none_or(|lease| lease.expires_at <= now)
     }
 
-    /// Gives all leases that were not revoked their full time again.
+    /// Renews all leases that were not revoked for their full TTL.
     fn renew_all_leases(&mut self, now: Millis) {
         let leases = self.leases.values_mut();
         for lease in leases.filter(|lease| lease.expires_at > 0) {
@@ -47,6 +54,7 @@
         }
     }
 
+    /// Returns the keys whose lease has expired.
     fn expired_keys(&self, now: Millis) -> Vec<String> {
         let is_expired = |key: &&String| {
             let lease = self.values[*key].lease.unwrap();
@@ -58,7 +66,8 @@
 }
 
 impl SimulatedCluster {
-    /// Deletes the keys of expired leases. During an outage no lease expires.
+    /// Deletes the keys whose lease has expired. Leases do not expire during an outage of the state
+    /// service.
     pub(crate) fn expire_leases(&mut self) {
         if self.faults.store_unavailable {
             self.store.renew_all_leases(self.now);
--- a/src/engine/tests/simulated_cluster/state_service/mod.rs
+++ b/src/engine/tests/simulated_cluster/state_service/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated state service: keys with versions, leases and watches.
+//! The simulated state service: versioned keys, leases and watches.
 
 mod commits;
 mod leases;
@@ -17,7 +17,7 @@
 use leases::Lease;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A value with its version, and the lease that it ends with.
+/// A value with its version and, if it has one, the lease that it is attached to.
 struct StoredValue {
     value: rmpv::Value,
     version: u64,
@@ -34,23 +34,24 @@
     }
 }
 
-/// A change of a key, at the revision that it made.
+/// A change of a key, with the revision that the change created.
 struct LoggedChange {
     revision: u64,
     event: WatchEvent,
 }
 
-/// What the state service holds.
+/// The data of the state service.
 #[derive(Default)]
 pub(super) struct StateService {
     values: BTreeMap<String, StoredValue>,
     revision: u64,
     leases: BTreeMap<u64, Lease>,
+    /// All changes, oldest first.
     log: Vec<LoggedChange>,
-    /// Keys under a lease.
+    /// Keys that are attached to a lease.
     leased_keys: BTreeSet<String>,
     watches: Vec<Watch>,
-    /// Commits that were asked for so far.
+    /// Number of commit requests received so far.
     commits: u64,
 }
 
@@ -64,13 +65,14 @@
         keys.filter(|key| key.starts_with(prefix)).count()
     }
 
-    /// Forgets the watches of a node whose process has ended.
+    /// Removes the watches of a node whose process has ended.
     pub(super) fn remove_watches_of_node(&mut self, node: usize) {
         self.watches
             .retain(|watch| watch.caller.process.node != node);
     }
 
-    /// A page of the keys with a prefix, after that key if one is given.
+    /// Returns a page of at most `page_items` items whose keys have the prefix, starting after the
+    /// key `after` if one is given.
     fn list_page(&self, prefix: &str, after: Option<&String>, page_items: usize) -> Listing {
         let from = after.map_or(prefix, String::as_str);
         let mut values = self
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Deletes a key, and logs the change if it was there.
+    /// Deletes a key, and logs the change if the key existed.
     fn delete(&mut self, key: &str, revision: u64) {
         self.leased_keys.remove(key);
         if self.values.remove(key).is_some() {
@@ -101,7 +103,11 @@
 }
 
 impl SimulatedCluster {
-    /// Executes a call, and sends its reply.
+    /// Executes a call and schedules its reply.
+    ///
+    /// # Panics
+    ///
+    /// Panics if an engine commits a transaction that does not compare the leader's key.
     pub(super) fn serve_store_call(&mut self, caller: Caller, call: &StoreCall) {
         let refused = self.is_refused(caller, call);
         if let StoreCall::Commit(transaction) = call {
@@ -111,7 +117,7 @@
                 .any(|comparison| comparison.key == records::LEADER_KEY);
             assert!(
                 compares_leader,
-                "no comparison of the leader's key: {transaction:?}"
+                "transaction does not compare the leader's key: {transaction:?}"
             );
             if !refused && let Some(delay) = self.delay_of_commit(transaction) {
                 return self.delay_commit(caller, transaction, delay);
@@ -129,6 +135,7 @@
         self.serve_watches();
     }
 
+    /// Reports whether a fault makes the state service refuse the call with status 503.
     fn is_refused(&self, caller: Caller, call: &StoreCall) -> bool {
         let faults = &self.faults;
         let lists_records = matches!(
@@ -140,7 +147,8 @@
             || (lists_records && faults.refuse_record_lists)
     }
 
-    /// The sender gives the transaction up after its timeout; it is executed after that delay.
+    /// Schedules the execution of a transaction after a delay. Its sender gets no reply and times
+    /// out.
     fn delay_commit(&mut self, caller: Caller, transaction: &Transaction, delay: Millis) {
         self.store.commits += 1;
         self.schedule(delay, Event::LateCommit(transaction.clone()));
@@ -149,7 +157,7 @@
         self.complete_store_call(caller, result, timeout);
     }
 
-    /// The reply to a call arrives after that delay.
+    /// Schedules the arrival of the reply to a call after a delay.
     fn complete_store_call(
         &mut self,
         caller: Caller,
@@ -164,6 +172,7 @@
         self.schedule(delay, Event::Command { process, command });
     }
 
+    /// Executes a call that is not refused.
     fn execute_store_call(&mut self, call: &StoreCall) -> Result<StoreReply, StoreError> {
         match call {
             StoreCall::Get { key } => {
@@ -187,7 +196,7 @@
                 self.expire_leases();
                 Ok(StoreReply::LeaseUpdated)
             }
-            StoreCall::Watch { .. } => unreachable!("watches have events of their own"),
+            StoreCall::Watch { .. } => unreachable!("watches are scheduled as separate events"),
         }
     }
 }
--- a/src/engine/tests/simulated_cluster/state_service/watches.rs
+++ b/src/engine/tests/simulated_cluster/state_service/watches.rs
@@ -1,4 +1,4 @@
-//! Watches: long polls for changes of keys with a prefix.
+//! Watches: long polls for changes to keys with a prefix.
 
 use super::super::events::Event;
 use super::super::nodes::Caller;
@@ -9,13 +9,13 @@
 use crate::store::{StoreError, StoreReply};
 use crate::wire::store::{Changes, WatchEvent};
 
-/// A watch that waits for a change.
+/// A watch that has not been answered yet.
 pub(in super::super) struct Watch {
     pub(in super::super) caller: Caller,
     pub(in super::super) prefix: String,
-    /// The revision after which changes are wanted.
+    /// Only changes with a higher revision are reported.
     pub(in super::super) after: u64,
-    /// When it is answered without a change.
+    /// The time at which the watch is answered even if there is no change.
     pub(in super::super) deadline: Millis,
 }
 
@@ -26,6 +26,7 @@
 }
 
 impl StateService {
+    /// Returns the changes that the watch has to report, oldest first.
     fn changes_for(&self, watch: &Watch) -> Vec<WatchEvent> {
         let first_new = self
             .log
@@ -37,12 +38,13 @@
 }
 
 impl SimulatedCluster {
+    /// Adds a watch, and answers it immediately if there are changes to report.
     pub(in super::super) fn begin_watch(&mut self, watch: Watch) {
         self.store.watches.push(watch);
         self.serve_watches();
     }
 
-    /// Answers the watches for which there are changes, and those whose time is over.
+    /// Answers the watches that have changes to report and those whose deadline has passed.
     pub(super) fn serve_watches(&mut self) {
         let mut waiting = Vec::new();
         for watch in std::mem::take(&mut self.store.watches) {
@@ -62,11 +64,12 @@
         self.store.watches = waiting;
     }
 
-    /// The reply to a watch; none if it has to wait.
+    /// Returns the result of a watch, or `None` if the watch has to wait. A watch also waits while
+    /// the state service refuses calls of its node.
     fn watch_result(&self, watch: &Watch) -> Option<Result<StoreReply, StoreError>> {
         let slack = constants::WATCH_SLACK.as_millis() as Millis;
         if self.now >= watch.deadline + slack {
-            // The caller has given up.
+            // The caller has timed out.
             return Some(Err(StoreError::Unknown("no answer".into())));
         }
         let node = watch.caller.process.node;
--- a/src/engine/tests/simulated_cluster/workers/commands.rs
+++ b/src/engine/tests/simulated_cluster/workers/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to the workers, with the replies to heartbeats and directly.
+//! Commands to the workers, received in heartbeat responses or as direct commands.
 
 use super::super::events::Event;
 use super::super::{Millis, SimulatedCluster};
@@ -6,10 +6,11 @@
 use super::{Worker, WorkerTask, job_of};
 use crate::wire::worker::{DirectCommands, TaskState, WorkerCommand};
 
-/// Between two attempts to execute direct commands on a machine that hangs.
+/// Time between two attempts to deliver direct commands to a hung machine.
 const HUNG_RETRY_INTERVAL: Millis = 100;
 
 impl Worker {
+    /// Starts stopping a task, if the attempt matches.
     fn stop_task(&mut self, id: &str, attempt: u64) {
         let task = self.tasks.get_mut(id);
         if let Some(task) = task.filter(|task| task.attempt == attempt) {
@@ -18,6 +19,7 @@
         }
     }
 
+    /// Removes a task that has exited, if the attempt matches.
     fn forget_task(&mut self, id: &str, attempt: u64) {
         let is_exited_attempt =
             |task: &WorkerTask| task.attempt == attempt && task.state == TaskState::Exited;
@@ -28,8 +30,9 @@
 }
 
 impl SimulatedCluster {
-    /// Direct commands arrive. They are executed only by the incarnation that they name, and not after
-    /// commands of a later leader.
+    /// Handles direct commands that arrive at a worker. The worker ignores commands that name
+    /// another incarnation, and commands with a lower fencing token than the highest one that the
+    /// worker has received, because they come from an earlier leader.
     pub(in super::super) fn receive_direct_commands(
         &mut self,
         machine: String,
@@ -45,7 +48,7 @@
         let Some(worker) = self.workers.get_mut(&machine) else {
             return;
         };
-        // A machine that hangs executes them afterwards.
+        // A hung machine executes the commands once it resumes.
         if faults.hung_machines.contains(&machine) {
             let event = Event::DirectCommands { machine, direct };
             return self.schedule(HUNG_RETRY_INTERVAL, event);
@@ -57,7 +60,8 @@
         let new_leader = direct.fencing_token > worker.fencing_token;
         worker.fencing_token = direct.fencing_token;
         worker.sequence += 1;
-        // A higher token is reported at once, but not too soon after the last heartbeat.
+        // The worker reports a higher fencing token as early as the minimum heartbeat interval
+        // allows.
         if new_leader && worker.claim_early_heartbeat(self.now) && !worker.awaits_reply {
             let earliest = worker.last_sent_at + MIN_HEARTBEAT_INTERVAL;
             let delay = earliest.saturating_sub(self.now);
@@ -66,7 +70,7 @@
         self.execute(&machine, &direct.commands);
     }
 
-    /// A worker executes commands.
+    /// Lets a worker execute commands.
     pub(super) fn execute(&mut self, machine: &str, commands: &[WorkerCommand]) {
         for command in commands {
             match command {
@@ -88,7 +92,7 @@
         self.advance_tasks();
     }
 
-    /// A worker starts a task, unless it has that attempt already.
+    /// Starts a task on a worker, unless the worker already has the same attempt.
     fn start_task(&mut self, machine: &str, id: &str, attempt: u64) {
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
--- a/src/engine/tests/simulated_cluster/workers/heartbeats.rs
+++ b/src/engine/tests/simulated_cluster/workers/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of the workers, and the replies to them.
+//! The workers' heartbeats and the replies to them.
 
 use super::super::events::Event;
 use super::super::settings::node_index;
@@ -7,18 +7,19 @@
 use crate::engine::{Command, Reply};
 use crate::wire::worker::{Heartbeat, HeartbeatResponse, Task};
 
-/// Between a reply without news and the next heartbeat.
+/// Time from a response that changes no task of the worker to the next heartbeat.
 const HEARTBEAT_INTERVAL: Millis = 3_000;
-/// The least time between two heartbeats.
+/// Minimum time between two heartbeats of a worker.
 pub(super) const MIN_HEARTBEAT_INTERVAL: Millis = 500;
-/// Between a redirect and the next heartbeat.
+/// Time from a redirect to the next heartbeat.
 const REDIRECT_DELAY: Millis = 100;
-/// Between a refusal and the next heartbeat.
+/// Time from a refusal or a timeout to the next heartbeat.
 const RETRY_DELAY: Millis = 1_000;
-/// How long a worker waits for a reply.
+/// Time for which a worker waits for the reply to a heartbeat.
 const REPLY_TIMEOUT: Millis = 4_000;
 
 impl Worker {
+    /// Creates the next heartbeat and keeps a copy of it.
     fn next_heartbeat(&mut self, machine: &str, preemption_notice_s: Option<f64>) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|(id, task)| Task {
@@ -44,7 +45,7 @@
         heartbeat
     }
 
-    /// Whether a reply, or none after the timeout, belongs to the heartbeat in flight.
+    /// Reports whether a reply, or a timeout if there is none, belongs to the heartbeat in flight.
     fn matches_in_flight_heartbeat(
         &self,
         sequence: u64,
@@ -55,7 +56,8 @@
         self.awaits_reply && self.sequence >= sequence && !too_early
     }
 
-    /// Whether a higher fencing token makes it send a heartbeat early: once in half a lease.
+    /// Reports whether a higher fencing token may cause an early heartbeat now, and if so records
+    /// the time. Early heartbeats are limited to one per half lease.
     pub(super) fn claim_early_heartbeat(&mut self, now: Millis) -> bool {
         let last = self.last_early_heartbeat_at;
         let due = last.is_none_or(|at| now >= at + WORKER_LEASE / 2);
@@ -67,7 +69,7 @@
 }
 
 impl SimulatedCluster {
-    /// Sets when the worker's next heartbeat is due; one that was due at another time is not sent.
+    /// Schedules the worker's next heartbeat. It replaces a heartbeat that was scheduled before.
     pub(in super::super) fn schedule_heartbeat(&mut self, machine: &str, delay: Millis) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.next_heartbeat_at = self.now + delay;
@@ -76,7 +78,8 @@
         }
     }
 
-    /// Every worker sends a heartbeat within this time from now.
+    /// Reschedules the next heartbeats of all workers so that they are spread over the given
+    /// duration from now.
     pub(crate) fn schedule_all_heartbeats_within(&mut self, duration: Millis) {
         let machines: Vec<String> = self.workers.keys().cloned().collect();
         for (number, machine) in (0..).zip(machines) {
@@ -84,7 +87,7 @@
         }
     }
 
-    /// Late copies of heartbeats, newest first, arrive at every node that is up; their replies are
+    /// Delivers duplicates of heartbeats, newest first, to every running node. Their replies are
     /// lost.
     pub(crate) fn redeliver_heartbeats(&mut self, heartbeats: &[Heartbeat]) {
         for node in 0..self.nodes.len() {
@@ -95,6 +98,8 @@
         }
     }
 
+    /// Sends a worker's heartbeat, or reschedules it if the machine is hung or another heartbeat is
+    /// in flight.
     pub(in super::super) fn send_heartbeat(&mut self, machine: &str) {
         let hung = self.faults.hung_machines.contains(machine);
         let notice = self.faults.preemption_notices.get(machine).copied();
@@ -128,7 +133,7 @@
         }
     }
 
-    /// A copy of every nth heartbeat arrives late.
+    /// Schedules the late arrival of a duplicate for every nth heartbeat.
     fn schedule_duplicate(&mut self, heartbeat: &Heartbeat) {
         let number = self.heartbeats_sent;
         if number.is_multiple_of(self.faults.duplicate_heartbeat_every) {
@@ -137,7 +142,7 @@
         }
     }
 
-    /// The reply to a heartbeat arrives, or its timeout has passed.
+    /// Handles the arrival of the reply to a heartbeat, or the timeout if the reply is `None`.
     pub(in super::super) fn receive_reply(
         &mut self,
         machine: &str,
@@ -153,7 +158,7 @@
             return;
         };
         if hung {
-            // Its timeout is handled once it resumes.
+            // A hung machine handles the timeout once it resumes.
             let timeout = Event::ReceiveReply {
                 machine: machine.into(),
                 sequence,
@@ -179,7 +184,8 @@
         self.schedule_heartbeat(machine, delay);
     }
 
-    /// Executes the leader's commands; the time to the next heartbeat.
+    /// Accepts the leader's response unless its fencing token is stale, executes the commands, and
+    /// returns the time until the next heartbeat.
     fn accept_response(&mut self, machine: &str, response: &HeartbeatResponse) -> Millis {
         let Some(worker) = self.workers.get_mut(machine) else {
             return HEARTBEAT_INTERVAL;
--- a/src/engine/tests/simulated_cluster/workers/mod.rs
+++ b/src/engine/tests/simulated_cluster/workers/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated workers.
+//! The simulated workers and their machines.
 
 mod commands;
 mod heartbeats;
@@ -10,46 +10,48 @@
 use crate::wire::worker::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The GPUs of a machine.
+/// Number of GPUs of a machine.
 pub(super) const MACHINE_GPUS: f64 = 4.0;
-/// From renting a machine to the first heartbeat of its worker.
+/// Time from the rental of a machine to the first heartbeat of its worker.
 pub(super) const BOOT_TIME: Millis = 20_000;
-/// A worker without a reply for longer stops its tasks.
+/// Duration of a worker's lease. If the leader accepts no heartbeat for longer, the worker stops
+/// its tasks.
 const WORKER_LEASE: Millis = 17_000;
 
-/// The name of the machine of that number.
+/// Returns the name of the machine with the given number.
 pub(super) fn machine_name(number: u64) -> String {
     format!("host-{number:06}")
 }
 
-/// The job of a task.
+/// Returns the job id in a task id.
 pub(super) fn job_of(task: &str) -> &str {
     task.rsplit_once('/').unwrap().0
 }
 
-/// A worker on its machine.
+/// A worker and the state of its machine.
 pub(crate) struct Worker {
     pub(super) zone: String,
-    /// The node that it reports to.
+    /// The node to which the worker sends its heartbeats.
     pub(crate) node: usize,
-    /// When the machine has booted.
+    /// The time at which the machine has booted, which may be in the future.
     pub(super) booted_at: Millis,
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
     last_sent_at: Millis,
     pub(super) next_heartbeat_at: Millis,
-    /// When a higher fencing token last made it send a heartbeat early.
+    /// The time at which a higher fencing token last caused an early heartbeat.
     last_early_heartbeat_at: Option<Millis>,
-    /// When it sent the last heartbeat that the leader accepted.
+    /// The time at which the last heartbeat that the leader accepted was sent.
     last_accepted_at: Millis,
+    /// Whether a heartbeat is in flight.
     awaits_reply: bool,
-    /// Its tasks by their ids.
+    /// The worker's tasks, by task id.
     pub(crate) tasks: BTreeMap<String, WorkerTask>,
     cached_images: BTreeSet<String>,
-    /// Nothing changes on it by itself before.
+    /// The earliest time at which the lease expires or a task changes its state without a command.
     next_change_at: Millis,
-    /// Heartbeats as sent, for late copies.
+    /// All heartbeats sent so far, from which tests redeliver duplicates.
     pub(super) sent_heartbeats: Vec<Heartbeat>,
 }
 
@@ -74,19 +76,19 @@
         }
     }
 
-    /// When its lease began for the last time.
+    /// Returns the time from which the current lease counts.
     fn lease_started_at(&self) -> Millis {
         self.last_accepted_at.max(self.booted_at)
     }
 
-    /// Goes on without its tasks, in a new incarnation.
+    /// Drops all tasks and starts a new incarnation with a new lease.
     fn restart(&mut self, now: Millis) {
         self.incarnation += 1;
         self.last_accepted_at = now;
         self.tasks.clear();
     }
 
-    /// Worker and tasks in one line.
+    /// Describes the worker and its tasks in one line.
     pub(super) fn describe(&self, name: &str) -> String {
         let describe_task = |(id, task): (&String, &WorkerTask)| {
             let (attempt, state, reason) = (task.attempt, task.state, task.exit_reason);
@@ -101,14 +103,14 @@
 }
 
 impl SimulatedCluster {
-    /// The worker loses its tasks and goes on in a new incarnation at once.
+    /// Restarts a worker without downtime: its tasks are lost and a new incarnation begins.
     pub(crate) fn restart_worker(&mut self, machine: &str) {
         let worker = self.workers.get_mut(machine).unwrap();
         worker.restart(self.now);
         worker.next_change_at = 0;
     }
 
-    /// Puts a running task on a machine that no leader started there.
+    /// Adds a running task that no leader started to a machine.
     pub(crate) fn inject_task(&mut self, machine: &str, task: &str) {
         let worker = self.workers.get_mut(machine).unwrap();
         let injected = WorkerTask::running(1, self.now);
--- a/src/engine/tests/simulated_cluster/workers/tasks.rs
+++ b/src/engine/tests/simulated_cluster/workers/tasks.rs
@@ -1,4 +1,4 @@
-//! The course of tasks on workers.
+//! The life cycle of tasks on workers.
 
 use super::super::invariants::CANCELLATION_LIMIT;
 use super::super::{Faults, Millis, SimulatedCluster};
@@ -7,52 +7,54 @@
 use crate::wire::worker::{ExitReason, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long an image is fetched that is not in the machine's cache.
+/// Time to fetch an image that is not in the machine's cache.
 const IMAGE_FETCH_TIME: Millis = 8_000;
 
 /// A task on a worker.
 #[derive(Clone)]
 pub(crate) struct WorkerTask {
-    /// The attempt that the leader named.
+    /// The attempt number given by the leader.
     pub(crate) attempt: u64,
-    /// When it came into its state.
+    /// The time at which the task entered its current state.
     state_since: Millis,
-    /// Its state.
+    /// The current state.
     pub(crate) state: TaskState,
     pub(super) exit_reason: Option<ExitReason>,
     pub(super) stopping: bool,
-    /// Whether a checkpoint was saved when it was stopped.
+    /// Whether a checkpoint was saved when the task was stopped; `None` if none was attempted.
     pub(super) checkpoint_saved: Option<bool>,
 }
 
-/// What decides how a task goes on.
+/// The conditions on which a task's state transitions depend.
 struct TaskContext<'a> {
     now: Millis,
     job: &'a JobSubmission,
     faults: &'a Faults,
     machine_fails: bool,
     image_cached: bool,
-    /// How long it runs; 0: without end.
+    /// Time for which the task runs; 0 means until it is stopped.
     run_time: Millis,
 }
 
+/// Converts seconds to whole milliseconds, rounding down.
 fn secs_to_millis(seconds: f64) -> Millis {
     (seconds * 1000.0) as Millis
 }
 
 impl TaskContext<'_> {
+    /// Returns the time that saving a checkpoint takes.
     fn checkpoint_time(&self) -> Millis {
         secs_to_millis(self.job.checkpoint_cost_s)
     }
 }
 
 impl WorkerTask {
-    /// A task that begins with fetching its image.
+    /// Creates a task that starts by fetching its image.
     pub(super) fn fetching(attempt: u64, now: Millis) -> WorkerTask {
         WorkerTask::new(TaskState::Fetching, attempt, now)
     }
 
-    /// A task that runs already.
+    /// Creates a task that is already running.
     pub(super) fn running(attempt: u64, now: Millis) -> WorkerTask {
         WorkerTask::new(TaskState::Running, attempt, now)
     }
@@ -78,7 +80,7 @@
         self.exit_reason = Some(reason);
     }
 
-    /// Goes into the next state if it is time.
+    /// Enters the next state if the time for it has come.
     fn advance(&mut self, context: &TaskContext) {
         if self.stopping {
             return self.advance_stop(context);
@@ -98,6 +100,8 @@
         }
     }
 
+    /// Advances a task that is being stopped: it saves a checkpoint first if the fault switches say
+    /// so, and then exits.
     fn advance_stop(&mut self, context: &TaskContext) {
         match self.state {
             TaskState::Running if context.faults.save_checkpoints => {
@@ -117,6 +121,7 @@
         context.image_cached || context.now >= self.state_since + IMAGE_FETCH_TIME
     }
 
+    /// Leaves the fetching state: the task runs, waits for its gang, or exits if a fault says so.
     fn finish_fetch(&mut self, context: &TaskContext) {
         let (job, faults) = (context.job, context.faults);
         self.enter_state(TaskState::Running, context.now);
@@ -129,7 +134,7 @@
         }
     }
 
-    /// When it changes by itself; none: it does not.
+    /// Returns the time of the task's next state transition that needs no command, if there is one.
     fn next_change_at(&self, context: &TaskContext) -> Option<Millis> {
         let duration = match self.state {
             TaskState::Fetching => IMAGE_FETCH_TIME,
@@ -142,7 +147,7 @@
     }
 }
 
-/// What tasks need to know of the cluster beside their worker.
+/// The parts of the cluster, other than the worker, on which the progress of tasks depends.
 struct TaskEnvironment<'a> {
     now: Millis,
     jobs: &'a BTreeMap<String, JobSubmission>,
@@ -151,7 +156,8 @@
 }
 
 impl Worker {
-    /// Restarts if its lease has expired.
+    /// Restarts the worker if its lease has expired, and resets the time of its next change to the
+    /// expiry of the lease.
     fn expire_lease(&mut self, now: Millis) {
         self.next_change_at = self.lease_started_at() + WORKER_LEASE + 1;
         let since_lease_start = now.saturating_sub(self.lease_started_at());
@@ -160,7 +166,7 @@
         }
     }
 
-    /// Lets its tasks go on; those that have completed are noted.
+    /// Advances the worker's tasks and adds those that complete to `completed_tasks`.
     fn advance_tasks(
         &mut self,
         machine: &str,
@@ -203,7 +209,8 @@
 }
 
 impl SimulatedCluster {
-    /// Lets the workers' tasks go on.
+    /// Advances the tasks on all workers that are not hung, and records a violation for each task
+    /// that still runs after [`CANCELLATION_LIMIT`].
     pub(in super::super) fn advance_tasks(&mut self) {
         let now = self.now;
         let mut cancellations = self.cancelled.values();
@@ -225,7 +232,7 @@
                 let cancelled_at = self.cancelled.get(job_of(id));
                 let overdue = cancelled_at.is_some_and(|at| now > at + CANCELLATION_LIMIT);
                 if overdue && task.state != TaskState::Exited {
-                    let violation = format!("{now}: {id} runs although it is cancelled");
+                    let violation = format!("{now}: {id} still runs after its job was cancelled");
                     self.violations.push(violation);
                 }
             }
