--- a/src/engine/tests/replay/conversion.rs
+++ b/src/engine/tests/replay/conversion.rs
@@ -1,4 +1,5 @@
-//! Between the engine's types and those of a script: the only file here that names the engine's.
+//! Conversions between the engine's types and those of a script. No other file of the replay tests
+//! depends on the variants of the engine's types.
 
 use super::script;
 use super::script::Body;
@@ -24,7 +25,7 @@
     items.iter().map(ToString::to_string).collect()
 }
 
-/// Lets the engine take a step of the script.
+/// Lets the engine take a recorded step and returns the outcome.
 pub(super) fn replay_step(engine: &mut Engine, step: &script::Step) -> script::Outcome {
     let commands: Vec<Command> = step.commands.iter().map(engine_command).collect();
     let effects = engine.step(
@@ -35,7 +36,7 @@
     record_outcome(&effects, &engine.status())
 }
 
-/// What a step has produced.
+/// Converts the result of an engine's step to the script's format.
 pub(super) fn record_outcome(effects: &[Effect], status: &EngineStatus) -> script::Outcome {
     script::Outcome {
         effects: effects.iter().map(record_effect).collect(),
@@ -50,7 +51,7 @@
     }
 }
 
-/// A command as it is kept in a script.
+/// Converts a command to the script's format.
 pub(super) fn record_command(command: &Command) -> script::Command {
     match command {
         Command::Heartbeat { heartbeat, reply } => script::Command::Heartbeat {
@@ -88,6 +89,7 @@
     }
 }
 
+/// Converts a recorded command back to a command to the engine.
 fn engine_command(command: &script::Command) -> Command {
     match command {
         script::Command::Heartbeat { body, reply } => Command::Heartbeat {
@@ -169,7 +171,7 @@
         Ok(CloudReply::MachineTypes(types)) => Answer::Types(encode_body(types)),
         Ok(CloudReply::Rented(machines)) => Answer::Rented(machines.clone()),
         Ok(CloudReply::Returned) => Answer::Returned,
-        Ok(CloudReply::MachinePage(list)) => Answer::Listed(encode_body(list)),
+        Ok(CloudReply::MachinePage(page)) => Answer::Listed(encode_body(page)),
         Err(CloudError::NoCapacity) => Answer::NoCapacity,
         Err(CloudError::Failed(reason)) => Answer::Failed(reason.to_string()),
     }
@@ -181,7 +183,7 @@
         Answer::Types(types) => Ok(CloudReply::MachineTypes(decode_body(types))),
         Answer::Rented(machines) => Ok(CloudReply::Rented(machines.clone())),
         Answer::Returned => Ok(CloudReply::Returned),
-        Answer::Listed(list) => Ok(CloudReply::MachinePage(decode_body(list))),
+        Answer::Listed(page) => Ok(CloudReply::MachinePage(decode_body(page))),
         Answer::NoCapacity => Err(CloudError::NoCapacity),
         Answer::Failed(reason) => Err(CloudError::Failed(reason.as_str().into())),
     }
@@ -237,7 +239,7 @@
             prefix: prefix.clone(),
             after: after.clone(),
         },
-        StoreCall::Commit(txn) => Request::Commit(encode_body(txn)),
+        StoreCall::Commit(transaction) => Request::Commit(encode_body(transaction)),
         StoreCall::GrantLease { ttl } => Request::GrantLease {
             ttl_ms: whole_millis(*ttl),
         },
@@ -259,7 +261,7 @@
     use script::CloudRequest as Request;
     match call {
         CloudCall::ListMachineTypes => Request::Types,
-        CloudCall::Rent(rent) => Request::Rent(encode_body(rent)),
+        CloudCall::Rent(request) => Request::Rent(encode_body(request)),
         CloudCall::Return(machines) => Request::Return(machines.clone()),
         CloudCall::ListMachines { after } => Request::List {
             after: after.clone(),
--- a/src/engine/tests/replay/coverage.rs
+++ b/src/engine/tests/replay/coverage.rs
@@ -1,11 +1,11 @@
-//! Coverage of the recorded scripts: agreement with them means something only if they exercise the
-//! engine.
+//! Coverage of the recorded scripts: replaying them verifies the engine only if they exercise it.
 
 use super::scenarios::SCENARIOS;
 use super::{read_script, script};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Guards against files that agree with the engine because they exercise nothing.
+/// Guards against recorded scripts that replay without differences only because they exercise too
+/// little of the engine.
 #[test]
 fn recorded_scripts_cover_every_kind_of_command_and_effect() {
     let mut coverage = Coverage::default();
@@ -19,17 +19,20 @@
     }
     println!("{coverage:#?}");
     for kind in REQUIRED_KINDS {
-        assert!(coverage.counts.contains_key(kind), "no {kind}");
+        assert!(
+            coverage.counts.contains_key(kind),
+            "the recorded scripts contain no {kind}"
+        );
     }
     let leader_replaced = coverage.terms.len() > SCENARIOS.len();
     assert!(leader_replaced, "no leader was replaced");
 }
 
-/// How often each kind of command, effect and task state occurs in the scripts.
+/// Counts of the kinds of commands, effects and task states in the scripts.
 #[derive(Debug, Default)]
 struct Coverage {
     counts: BTreeMap<String, usize>,
-    /// Terms in which some node has led.
+    /// Terms with a leader, each with the name of its scenario.
     terms: BTreeSet<(&'static str, u64)>,
 }
 
@@ -61,7 +64,7 @@
     }
 }
 
-/// What the recorded scripts must contain.
+/// The kinds that must occur in the recorded scripts.
 const REQUIRED_KINDS: [&str; 56] = [
     "command Heartbeat",
     "command Heartbeat with a preemption notice",
@@ -121,7 +124,7 @@
     "task ended no_such",
 ];
 
-/// The name of a variant of the script's own types.
+/// Returns the variant name of a value of one of the script's enums, taken from its `Debug` output.
 fn variant_name(value: &impl std::fmt::Debug) -> String {
     let text = format!("{value:?}");
     let end = text.find(|letter: char| !letter.is_alphanumeric());
@@ -144,11 +147,12 @@
     }
 }
 
+/// Reports whether a heartbeat contains a preemption notice.
 fn has_notice(heartbeat: &script::Body) -> bool {
     !heartbeat.decoded()["recall_s"].is_nil()
 }
 
-/// The states in which a heartbeat reports its tasks, with the reason of those that have ended.
+/// Returns the states of the tasks in a heartbeat, with the exit reason of tasks that have exited.
 fn task_states_in(command: &script::Command) -> Vec<String> {
     let script::Command::Heartbeat { body, .. } = command else {
         return Vec::new();
@@ -162,7 +166,7 @@
     tasks.iter().map(state).collect()
 }
 
-/// The commands that an effect sends to a worker.
+/// Returns the kinds of the commands that an effect sends to a worker.
 fn worker_commands_in(effect: &script::Effect) -> Vec<String> {
     let (script::Effect::WorkerCommands { body, .. }
     | script::Effect::Reply {
--- a/src/engine/tests/replay/recorder.rs
+++ b/src/engine/tests/replay/recorder.rs
@@ -1,26 +1,27 @@
-//! Records the commands that the engines of a simulated cluster get, and their effects.
+//! Records the commands to the engines of a simulated cluster, and their effects.
 
 use super::conversion;
 use super::script::{Command, Process, Script, Step};
 use crate::engine::{self, Effect, EngineStatus};
 use std::collections::BTreeMap;
 
+/// A recording in progress.
 #[derive(Default)]
 pub(crate) struct Recorder {
     script: Script,
-    /// The process in the script that each node runs now.
+    /// Index in the script of each node's current process, by node.
     current_process: BTreeMap<usize, usize>,
 }
 
 impl Recorder {
-    /// A node's process starts.
+    /// Records the start of a node's process.
     pub(crate) fn start_process(&mut self, process: Process) {
         let position = self.script.processes.len();
         self.current_process.insert(process.node, position);
         self.script.processes.push(process);
     }
 
-    /// A node's engine took a step.
+    /// Records a step of a node's engine.
     pub(crate) fn record_step(
         &mut self,
         node: usize,
@@ -37,12 +38,13 @@
         });
     }
 
+    /// Returns the recorded script.
     pub(crate) fn finish(self) -> Script {
         self.script
     }
 }
 
-/// What a step was given, taken before the engine consumes it.
+/// The input of a step, copied before the engine consumes it.
 pub(crate) struct Input {
     uptime: u64,
     unix_time: u64,
--- a/src/engine/tests/replay/scenarios/faults.rs
+++ b/src/engine/tests/replay/scenarios/faults.rs
@@ -1,4 +1,4 @@
-//! Scenarios with machines lost, wrong machine lists and partitions.
+//! Scenarios with lost machines, faulty machine lists, partitions and consolidation.
 
 use crate::engine::tests::simulated_cluster::{MachineListFault, SimulatedCluster};
 use crate::engine::tests::support::{JobSubmissionExt, job_with_duration, short_job};
--- a/src/engine/tests/replay/scenarios/jobs.rs
+++ b/src/engine/tests/replay/scenarios/jobs.rs
@@ -65,7 +65,7 @@
         cluster.blocked_job_state(node, "run-7");
         cluster.unknown_jobs(node, &["run-1", "run-7", "run-99"]);
     }
-    // Queries close to each other: many wait for the same refresh.
+    // The queries follow each other so closely that many of them wait for the same refresh.
     let leader = cluster.leader().unwrap();
     for _ in 0..150 {
         cluster.request_blocked_job_state(leader, "run-7");
--- a/src/engine/tests/replay/scenarios/load.rs
+++ b/src/engine/tests/replay/scenarios/load.rs
@@ -1,4 +1,4 @@
-//! Scenarios with more jobs than resources.
+//! Scenarios in which the jobs need more resources than there are.
 
 use crate::engine::tests::simulated_cluster::SimulatedCluster;
 use crate::engine::tests::support::{
--- a/src/engine/tests/replay/scenarios/mod.rs
+++ b/src/engine/tests/replay/scenarios/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated clusters whose engines are recorded.
+//! The scenarios whose engines are recorded.
 
 mod faults;
 mod jobs;
@@ -7,15 +7,18 @@
 use super::script::Script;
 use crate::engine::tests::simulated_cluster::SimulatedCluster;
 
-/// A scenario with the name of its file.
+/// A scenario to record.
 pub(crate) struct Scenario {
+    /// Name of the scenario, and of its fixture file without the extension.
     pub(crate) name: &'static str,
-    /// The team's limit.
+    /// GPU limit of the team.
     gpus_max: f64,
+    /// Submits the jobs and injects the faults.
     run: fn(&mut SimulatedCluster),
 }
 
 impl Scenario {
+    /// Runs the scenario in a cluster of three nodes and returns the recorded script.
     pub(crate) fn record(&self) -> Script {
         let mut cluster = SimulatedCluster::new(3, self.gpus_max);
         cluster.start_recording();
@@ -24,6 +27,7 @@
     }
 }
 
+/// All recorded scenarios.
 pub(crate) const SCENARIOS: [Scenario; 8] = [
     Scenario {
         name: "kinds",
--- a/src/engine/tests/replay/script.rs
+++ b/src/engine/tests/replay/script.rs
@@ -1,49 +1,51 @@
-//! The format of a recorded script: the commands to an engine process, and their effects.
+//! The file format of recorded scripts: the commands to each engine process and their effects.
 //!
-//! Nothing here names a type of the engine, so that the files stay readable whatever the engine's types
-//! are called. Messages of the protocol are kept as their encoded bodies.
+//! The format uses none of the engine's types, so that renaming those does not make the files
+//! unreadable. Protocol messages are stored as their encoded bodies.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// All engine processes of one simulated cluster, in the order of their start.
+/// All engine processes of one simulated cluster, in the order in which they were started.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Script {
     pub(crate) processes: Vec<Process>,
 }
 
-/// One engine from its start to its end.
+/// One engine process from its start to its end.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Process {
     /// The settings file, before node name, zone and peers are filled in.
     pub(crate) settings: String,
-    /// Which of the nodes this one is, and how many there are.
+    /// Index of the node among the `nodes` nodes of the cluster.
     pub(crate) node: usize,
+    /// Number of nodes in the cluster.
     pub(crate) nodes: usize,
     /// Seed of the engine's random generator.
     pub(crate) seed: u64,
     pub(crate) steps: Vec<Step>,
 }
 
-/// One call of the engine with its outcome.
+/// One step of the engine: its input and its outcome.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Step {
     /// Milliseconds since the process started.
     pub(crate) now: u64,
-    /// Time of day, milliseconds.
+    /// Unix time in milliseconds.
     pub(crate) unix_time: u64,
     pub(crate) commands: Vec<Command>,
     pub(crate) outcome: Outcome,
 }
 
-/// What a step produces.
+/// The result of a step.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Outcome {
     pub(crate) effects: Vec<Effect>,
-    /// What the node shows of the engine after the step.
+    /// The engine's status after the step.
     pub(crate) status: Status,
 }
 
+/// A command to the engine.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Command {
     Heartbeat { body: Body, reply: u64 },
@@ -64,6 +66,7 @@
     pub(crate) store_ok: bool,
 }
 
+/// The result of a call to the state service.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum StoreAnswer {
     Item(Option<Body>),
@@ -80,6 +83,7 @@
     Bad(String),
 }
 
+/// The result of a call to the cloud.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum CloudAnswer {
     Types(Body),
@@ -90,6 +94,7 @@
     Failed(String),
 }
 
+/// An effect of a step.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Effect {
     Reply {
@@ -111,6 +116,7 @@
     },
 }
 
+/// A reply of the engine to a heartbeat or a query.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Reply {
     HeartbeatAnswer(Body),
@@ -121,6 +127,7 @@
     UnknownJobs(Vec<String>),
 }
 
+/// A call to the state service.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum StoreRequest {
     Get {
@@ -147,6 +154,7 @@
     },
 }
 
+/// A call to the cloud.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum CloudRequest {
     Types,
@@ -155,6 +163,7 @@
     List { after: Option<String> },
 }
 
+/// The status that the engine reports to its node.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Status {
     pub(crate) ready: bool,
@@ -165,7 +174,7 @@
     pub(crate) store_ok: bool,
 }
 
-/// An encoded message of the protocol, kept as bytes and shown decoded.
+/// An encoded protocol message. It is stored as bytes; its `Debug` output shows it decoded.
 #[derive(PartialEq, Serialize, Deserialize)]
 pub(crate) struct Body(rmpv::Value);
 
--- a/src/engine/tests/support.rs
+++ b/src/engine/tests/support.rs
@@ -1,18 +1,18 @@
-//! Jobs and clusters that the scenarios share.
+//! Job submissions and simulated clusters that the engine's tests share.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
 use crate::wire::user::JobKind;
 use crate::wire::user::tests::job;
 use crate::wire::user::{JobSubmission, Priority};
 
-/// A job that ends after ten seconds, or a service.
+/// Returns a job whose tasks run for 10 s, or a service whose tasks run until they are stopped.
 pub(crate) fn short_job(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
     let mut job = job(id, kind, tasks);
     job.expected_duration_s = if kind == JobKind::Service { 0.0 } else { 10.0 };
     job
 }
 
-/// A job whose tasks run for that many seconds.
+/// Returns a job whose tasks run for the given number of seconds.
 pub(crate) fn job_with_duration(
     id: &str,
     kind: JobKind,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A job that depends on others.
+/// Returns a short job that depends on the jobs with the given ids.
 pub(crate) fn dependent_job(
     id: &str,
     kind: JobKind,
@@ -37,7 +37,7 @@
     job
 }
 
-/// A gang each task of which needs a whole machine.
+/// Returns a gang whose tasks each need a whole machine.
 pub(crate) fn whole_machine_gang(id: &str, tasks: u64) -> JobSubmission {
     JobSubmission {
         gpus: 4.0,
@@ -47,11 +47,11 @@
     }
 }
 
-/// Changes to a job.
+/// Builder-style changes to a job submission.
 pub(crate) trait JobSubmissionExt {
-    /// The job with that priority.
+    /// Returns the job with the given priority.
     fn with_priority(self, priority: Priority) -> JobSubmission;
-    /// The job, to be placed in that zone.
+    /// Returns the job restricted to the given zone.
     fn in_zone(self, zone: &str) -> JobSubmission;
 }
 
@@ -66,11 +66,12 @@
     }
 }
 
-/// Three nodes whose team has eight GPUs, with these jobs submitted once there is a leader.
+/// Creates a cluster of three nodes whose team may use eight GPUs, and submits the jobs after 2 s,
+/// when there is a leader.
 ///
-/// Run with `--nocapture` to see what the engines log.
+/// The engines' log is shown if the tests are run with `--nocapture`.
 pub(crate) fn cluster_with(jobs: Vec<JobSubmission>) -> SimulatedCluster {
-    // It fails if another test was first, which does no harm.
+    // Fails if another test has already installed the subscriber, which serves this test as well.
     let _ = tracing_subscriber::fmt().with_test_writer().try_init();
     let mut cluster = SimulatedCluster::new(3, 8.0);
     cluster.run(2000);
@@ -80,7 +81,7 @@
     cluster
 }
 
-/// A cluster in which all eight replicas of two services run, on machines of both zones.
+/// Creates a cluster in which all eight replicas of two services run, on machines of both zones.
 pub(crate) fn cluster_with_two_services() -> SimulatedCluster {
     let mut jobs = vec![
         short_job("run-1", JobKind::Service, 4),
@@ -96,7 +97,7 @@
     cluster
 }
 
-/// The job completes in time, and no invariant is violated.
+/// Asserts that the job completes within the timeout and that no invariant has been violated.
 #[track_caller]
 pub(crate) fn assert_completes(cluster: &mut SimulatedCluster, id: &str, timeout: Millis) {
     let done = cluster.run_until(timeout, |simulation| simulation.is_done(id));
@@ -109,7 +110,7 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Restarts node 1, the only one in the west, until another node leads.
+/// Restarts node 1, the only node in the west zone, until it no longer leads.
 pub(crate) fn move_leadership_east(cluster: &mut SimulatedCluster) {
     while cluster.leader() == Some(1) {
         cluster.restart(1, 10_000);
