--- a/src/engine/tests/replay/scenarios/load.rs
+++ b/src/engine/tests/replay/scenarios/load.rs
@@ -82,9 +82,9 @@
     cluster.faults.zone_capacity = Some(7);
     cluster.run(2_000);
     for second in 0..190 {
-        let small =
+        let small_job =
             job_with_duration(&format!("run-{second}"), JobKind::Array, 4, 30.0).in_zone("east");
-        cluster.submit(small);
+        cluster.submit(small_job);
         if second == 40 {
             let mut gang = whole_machine_gang("run-1000", 5);
             gang.single_zone = true;
--- a/src/engine/tests/simulated_cluster/events.rs
+++ b/src/engine/tests/simulated_cluster/events.rs
@@ -41,7 +41,7 @@
         machine: String,
         direct: DirectCommands,
     },
-    /// A transaction is executed after its sender has timed out.
+    /// A delayed transaction, for which the sender gets no reply, is executed.
     LateCommit(Transaction),
     /// A duplicate of a heartbeat arrives at all nodes.
     DuplicateHeartbeat(Heartbeat),
--- a/src/engine/tests/simulated_cluster/faults.rs
+++ b/src/engine/tests/simulated_cluster/faults.rs
@@ -53,8 +53,8 @@
     pub(crate) machines_without_replies: BTreeSet<String>,
     /// Nodes that can neither send announcements to their peers nor receive any.
     pub(crate) nodes_without_peers: BTreeSet<usize>,
-    /// Additional time before the state service executes a call, even if the caller's process has
-    /// ended in the meantime.
+    /// Additional time before the state service executes a call other than a watch. The call is
+    /// executed even if the caller's process has ended in the meantime.
     pub(crate) store_delay: Millis,
     /// Maximum number of machines that the cloud has in each zone. `None` means no limit.
     pub(crate) zone_capacity: Option<usize>,
@@ -72,7 +72,8 @@
     /// If this is n and not 0, a duplicate of every nth heartbeat arrives at all nodes 2 to 38 s
     /// later.
     pub(crate) duplicate_heartbeat_every: u64,
-    /// Additional time that calls to the state service take to arrive, by calling node.
+    /// Additional time that calls to the state service, except watches, take to arrive, by calling
+    /// node.
     pub(crate) store_call_delay: BTreeMap<usize, Millis>,
     /// Additional time that replies to watches take, by receiving node.
     pub(crate) watch_delay: BTreeMap<usize, Millis>,
--- a/src/engine/tests/simulated_cluster/nodes.rs
+++ b/src/engine/tests/simulated_cluster/nodes.rs
@@ -25,7 +25,7 @@
 pub(super) struct Node {
     /// The engine of the running process; `None` while the process is down.
     pub(super) engine: Option<Engine>,
-    /// Number of times that the process was started or ended.
+    /// Number of starts and ends of the node's process so far.
     pub(super) epoch: u64,
     pub(super) zone: String,
     started_at: Millis,
--- a/src/engine/tests/simulated_cluster/workers/tasks.rs
+++ b/src/engine/tests/simulated_cluster/workers/tasks.rs
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Advances a task that is being stopped: it saves a checkpoint first if the fault switches say
-    /// so, and then exits.
+    /// Advances a task that is being stopped: it exits, after saving a checkpoint if it was running
+    /// and [`Faults::save_checkpoints`] is set.
     fn advance_stop(&mut self, context: &TaskContext) {
         match self.state {
             TaskState::Running if context.faults.save_checkpoints => {
