--- a/src/engine/autoscaling/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -24,7 +24,7 @@
 use crate::autoscaler::WaitingJob;
 use crate::constants;
 use crate::model::{JobId, Machine, MachineId, MachinePhase, Timestamp};
-use crate::placement::{Candidate, Unplaced};
+use crate::placement::{Candidate, UnplacedTasks};
 use machine_list::MachineListing;
 use refusals::RefusedOffers;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(super) struct Autoscaling {
     /// Tasks for which the last scheduling pass found no resources, by job in scheduling order.
-    demand: Vec<Unplaced>,
+    demand: Vec<UnplacedTasks>,
     refusals: RefusedOffers,
     /// Number of rental requests made in this term. The term and this number together identify a
     /// request.
@@ -103,7 +103,7 @@
     }
 
     /// Sets the demand to the tasks that a scheduling pass has left unplaced.
-    fn set_demand(&mut self, unplaced: Vec<Unplaced>, now: Timestamp) {
+    fn set_demand(&mut self, unplaced: Vec<UnplacedTasks>, now: Timestamp) {
         // When demand first appears, a rental pass is due immediately instead of at the next regular
         // time.
         if self.demand.is_empty() && !unplaced.is_empty() {
@@ -116,7 +116,7 @@
 impl Engine {
     /// Sets the demand to the tasks that a scheduling pass has left unplaced. Does nothing on a
     /// follower.
-    pub(super) fn set_demand(&mut self, unplaced: Vec<Unplaced>) {
+    pub(super) fn set_demand(&mut self, unplaced: Vec<UnplacedTasks>) {
         let now = self.context.now();
         if let Some(leader) = self.leadership.leader_mut() {
             leader.autoscaling.set_demand(unplaced, now);
@@ -162,13 +162,13 @@
         let preemption = self.plan_preemption(&candidates);
         let scaling = self.scaling_plan(&candidates);
         if let Some(leader) = self.leadership.leader_mut() {
-            leader.autoscaling.reserved = scaling.keep;
+            leader.autoscaling.reserved = scaling.machines_to_keep;
         }
         self.pause_preemption(preemption.without_victims);
         if let Some(preemption) = preemption.preemption {
             self.preempt(preemption);
         }
-        self.scale_out(scaling.rent);
+        self.scale_out(scaling.rentals);
     }
 
     /// Reports whether a machine is expected to finish booting soon. A machine that has been rented for
--- a/src/engine/machines/tests.rs
+++ b/src/engine/machines/tests.rs
@@ -67,7 +67,7 @@
     machines.refresh_snapshots(&jobs, Some(&types()), instant(0));
     let snapshot = &schedulable(&machines)[0];
     assert_eq!(snapshot.available, snapshot.capacity - request);
-    assert_eq!(snapshot.long_running, request);
+    assert_eq!(snapshot.used_by_services, request);
     assert!(machines.snapshots_agree(&jobs, instant(0)));
 }
 
--- a/src/engine/tests/simulated_cluster/inspection.rs
+++ b/src/engine/tests/simulated_cluster/inspection.rs
@@ -15,7 +15,7 @@
 impl SimulatedCluster {
     /// Returns a job's live record.
     pub(crate) fn live_record(&self, id: &str) -> Option<JobRecord> {
-        records::read_job(self.store.value(&records::job_key(id))?.clone())
+        records::decode_job(self.store.value(&records::job_key(id))?.clone())
     }
 
     /// Reports whether a job has a live record, so that a user can still cancel the job.
@@ -26,7 +26,7 @@
     /// Returns the state in a job's final record, if it has one.
     pub(crate) fn final_state(&self, id: &str) -> Option<JobState> {
         let value = self.store.value(&records::final_key(id))?;
-        Some(records::read_final(value.clone())?.state)
+        Some(records::decode_final(value.clone())?.state)
     }
 
     /// Reports whether a job has completed.
--- a/src/engine/tests/simulated_cluster/invariants.rs
+++ b/src/engine/tests/simulated_cluster/invariants.rs
@@ -101,7 +101,7 @@
     /// Checks a job's new final record against the previous one and against the completed tasks. A
     /// gang may be done as soon as one of its tasks has completed.
     fn check_final_record(&mut self, job: &str, value: &rmpv::Value) {
-        let state = records::read_final(value.clone()).map(|record| record.state);
+        let state = records::decode_final(value.clone()).map(|record| record.state);
         let previous_state = self.final_state(job);
         if previous_state.is_some() && previous_state != state {
             self.record_violation(&format!("{job} goes from {previous_state:?} to {state:?}"));
--- a/src/engine/tests/simulated_cluster/state_service/commits.rs
+++ b/src/engine/tests/simulated_cluster/state_service/commits.rs
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`StoreError::Unknown`] if the reply is lost, otherwise the errors of
+    /// Returns [`StoreError::UnknownOutcome`] if the reply is lost, otherwise the errors of
     /// [`SimulatedCluster::commit`].
     pub(super) fn commit_with_lost_reply(
         &mut self,
@@ -87,7 +87,7 @@
         let result = self.commit(transaction);
         let commits = self.store.commits;
         if commits.is_multiple_of(self.faults.lose_commit_reply_every) {
-            return Err(StoreError::Unknown("lost".into()));
+            return Err(StoreError::UnknownOutcome("lost".into()));
         }
         result
     }
--- a/src/engine/tests/simulated_cluster/state_service/watches.rs
+++ b/src/engine/tests/simulated_cluster/state_service/watches.rs
@@ -70,7 +70,7 @@
         let slack = constants::WATCH_SLACK.as_millis() as Millis;
         if self.now >= watch.deadline + slack {
             // The caller has timed out.
-            return Some(Err(StoreError::Unknown("no answer".into())));
+            return Some(Err(StoreError::UnknownOutcome("no answer".into())));
         }
         let node = watch.caller.process.node;
         if self.faults.store_unavailable || self.faults.nodes_without_store.contains(&node) {
--- a/src/placement/reservation.rs
+++ b/src/placement/reservation.rs
@@ -1,7 +1,7 @@
 //! Reservation of machines for a starving gang.
 //!
-//! Without it, smaller jobs take each machine as it becomes free, and a gang that needs many whole
-//! machines never starts.
+//! Without a reservation, smaller jobs take each machine as it becomes free, and a gang that needs
+//! many whole machines never starts.
 
 use super::gang::zones;
 use super::snapshot::MachineSnapshot;
@@ -9,44 +9,46 @@
 use crate::model::{JobSpec, Resources};
 use std::sync::Arc;
 
-/// Machines that would hold a whole gang once their present work has ended.
+/// Machines on which a whole gang fits once their current batch tasks have ended.
 struct Reservation {
-    /// Work that has to end, in thousandths of a machine.
-    ending_permille: u64,
+    /// Sum of the parts of the machines that batch tasks have to free, in thousandths of a machine.
+    permille_to_free: u64,
     /// Indices of the machines in the snapshots.
     machine_indices: Vec<usize>,
 }
 
-/// A machine that could take tasks of the gang.
+/// A machine that can take tasks of the gang once its batch tasks have ended.
 struct ReservableMachine {
+    /// Index of the machine in the snapshots.
     index: usize,
-    /// Work on it that has to end, in thousandths of the machine.
-    ending_permille: u64,
-    /// Tasks of the gang that it then holds.
+    /// Part of the machine that batch tasks have to free, in thousandths.
+    permille_to_free: u64,
+    /// Number of tasks of the gang that then fit on the machine.
     tasks: u32,
 }
 
-/// Reserves the machines that are nearest to having room for the whole gang, in one zone if it asks
-/// for that: no job after it in the order of service starts tasks on them in this round.
+/// Reserves the machines on which the least has to be freed for the whole gang to fit, within one
+/// zone if the gang requires a single zone. Jobs after the gang in the order of service start no
+/// tasks on reserved machines in this round. Reserves nothing if the machines cannot hold the gang.
 pub(super) fn reserve_for_gang(spec: &JobSpec, snapshots: &mut [MachineSnapshot]) {
     let reservation = if spec.single_zone {
         zones(snapshots)
             .into_iter()
             .filter_map(|zone| find_reservation(spec, snapshots, Some(zone)))
-            .min_by_key(|reservation| reservation.ending_permille)
+            .min_by_key(|reservation| reservation.permille_to_free)
     } else {
         find_reservation(spec, snapshots, None)
     };
-    let reserved = reservation
+    let reserved_indices = reservation
         .into_iter()
         .flat_map(|reservation| reservation.machine_indices);
-    for index in reserved {
+    for index in reserved_indices {
         snapshots[index].available = Resources::default();
     }
 }
 
-/// The machines, those with the least work to end first, that together hold the gang; `None` if all
-/// of them do not.
+/// Returns machines that together can hold the gang, choosing those first on which the least has to
+/// be freed. Returns `None` if all machines together cannot hold the gang.
 fn find_reservation(
     spec: &JobSpec,
     snapshots: &[MachineSnapshot],
@@ -58,38 +60,39 @@
         .filter(|(_, snapshot)| only_zone.is_none_or(|zone| snapshot.zone == *zone))
         .filter_map(|(index, snapshot)| reservable_machine(spec, index, snapshot))
         .collect();
-    machines.sort_by_key(|machine| (machine.ending_permille, machine.index));
-    let mut unplaced = spec.tasks;
+    machines.sort_by_key(|machine| (machine.permille_to_free, machine.index));
+    let mut unassigned_tasks = spec.tasks;
     let mut reservation = Reservation {
-        ending_permille: 0,
+        permille_to_free: 0,
         machine_indices: Vec::new(),
     };
     for machine in machines {
-        if unplaced == 0 {
+        if unassigned_tasks == 0 {
             break;
         }
-        unplaced = unplaced.saturating_sub(machine.tasks);
-        reservation.ending_permille += machine.ending_permille;
+        unassigned_tasks = unassigned_tasks.saturating_sub(machine.tasks);
+        reservation.permille_to_free += machine.permille_to_free;
         reservation.machine_indices.push(machine.index);
     }
-    (unplaced == 0).then_some(reservation)
+    (unassigned_tasks == 0).then_some(reservation)
 }
 
-/// The machine, if it could take a task of the gang once all work on it but services has ended.
+/// Returns the machine if it can take a task of the gang once all tasks on it except services have
+/// ended.
 fn reservable_machine(
     spec: &JobSpec,
     index: usize,
     snapshot: &MachineSnapshot,
 ) -> Option<ReservableMachine> {
-    let reservable = snapshot.available_besides_services();
-    if !snapshot.is_eligible_for(spec) || !spec.request.fits_in(reservable) {
+    let reservable_resources = snapshot.capacity_without_services();
+    if !snapshot.is_eligible_for(spec) || !spec.request.fits_in(reservable_resources) {
         return None;
     }
-    let ending = reservable - snapshot.available;
+    let to_free = reservable_resources - snapshot.available;
     Some(ReservableMachine {
         index,
-        ending_permille: ending.permille_of(snapshot.capacity),
-        tasks: reservable
+        permille_to_free: to_free.permille_of(snapshot.capacity),
+        tasks: reservable_resources
             .max_multiple(spec.request)
             .min(MAX_TASKS_PER_MACHINE),
     })
