--- a/src/engine/tests/replay/recorder.rs
+++ b/src/engine/tests/replay/recorder.rs
@@ -1,60 +1,62 @@
-//! Records the commands that the engines of a simulated cluster get, and their effects.
+//! Records the commands to the engines of a simulated cluster, and their effects.
 
-use super::mirror;
+use super::conversion;
 use super::script::{Command, Process, Script, Step};
 use crate::engine::{self, Effect, EngineStatus};
 use std::collections::BTreeMap;
 
+/// A recording in progress.
 #[derive(Default)]
 pub(crate) struct Recorder {
     script: Script,
-    /// The process in the script that each node runs now.
-    current: BTreeMap<usize, usize>,
+    /// Index in the script of each node's current process, by node.
+    current_process: BTreeMap<usize, usize>,
 }
 
 impl Recorder {
-    /// A node's process starts.
-    pub(crate) fn start(&mut self, process: Process) {
+    /// Records the start of a node's process.
+    pub(crate) fn start_process(&mut self, process: Process) {
         let position = self.script.processes.len();
-        self.current.insert(process.node, position);
+        self.current_process.insert(process.node, position);
         self.script.processes.push(process);
     }
 
-    /// A node's engine took a step.
-    pub(crate) fn record(
+    /// Records a step of a node's engine.
+    pub(crate) fn record_step(
         &mut self,
         node: usize,
         input: Input,
         effects: &[Effect],
-        view: &EngineStatus,
+        status: &EngineStatus,
     ) {
-        let position = self.current[&node];
+        let position = self.current_process[&node];
         self.script.processes[position].steps.push(Step {
-            now: input.now,
+            now: input.uptime,
             unix_time: input.unix_time,
             commands: input.commands,
-            outcome: mirror::outcome(effects, view),
+            outcome: conversion::record_outcome(effects, status),
         });
     }
 
+    /// Returns the recorded script.
     pub(crate) fn finish(self) -> Script {
         self.script
     }
 }
 
-/// What a step was given, taken before the engine consumes it.
+/// The input of a step, copied before the engine consumes it.
 pub(crate) struct Input {
-    now: u64,
+    uptime: u64,
     unix_time: u64,
     commands: Vec<Command>,
 }
 
 impl Input {
-    pub(crate) fn new(now: u64, unix_time: u64, commands: &[engine::Command]) -> Input {
+    pub(crate) fn new(uptime: u64, unix_time: u64, commands: &[engine::Command]) -> Input {
         Input {
-            now,
+            uptime,
             unix_time,
-            commands: commands.iter().map(mirror::record_command).collect(),
+            commands: commands.iter().map(conversion::record_command).collect(),
         }
     }
 }
--- a/src/engine/tests/simulated_cluster/nodes.rs
+++ b/src/engine/tests/simulated_cluster/nodes.rs
@@ -1,7 +1,7 @@
-//! The simulated nodes: their processes, and the steps of their engines.
+//! The simulated nodes: starts and crashes of their processes, and the steps of their engines.
 
 use super::events::Event;
-use super::settings::{node_name, settings_of, settings_text};
+use super::settings::{node_name, node_settings, settings_text};
 use super::{Millis, SimulatedCluster};
 use crate::engine::{Command, Engine};
 use crate::model::UnixTime;
@@ -10,19 +10,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// When a process that has started announces itself first.
+/// Time from the start of a process to its first announcement to its peers.
 const FIRST_ANNOUNCEMENT_AFTER: Millis = 100;
-/// Between two announcements of a node.
+/// Time between two announcements of a node.
 const ANNOUNCEMENT_INTERVAL: Millis = 1_000;
-/// In larger fleets the engine's snapshots are checked now and then only.
+/// In fleets of at least this many machines, the engine's snapshots are not checked after every
+/// step, but once per [`SNAPSHOT_CHECK_EVENTS`].
 const SMALL_FLEET_MACHINES: usize = 100;
-/// How often they are checked in larger fleets, counted in events.
+/// Interval between two checks of the engine's snapshots in large fleets, counted in events and
+/// replies.
 const SNAPSHOT_CHECK_EVENTS: u64 = 200;
 
-/// A node, whose process may be down.
+/// A node. Its process may be down.
 pub(super) struct Node {
+    /// The engine of the running process; `None` while the process is down.
     pub(super) engine: Option<Engine>,
-    /// Counts starts and ends of the process.
+    /// Number of starts and ends of the node's process so far.
     pub(super) epoch: u64,
     pub(super) zone: String,
     started_at: Millis,
@@ -39,22 +42,22 @@
     }
 }
 
-/// One process of a node.
+/// Identifies one process of a node, between a start and the next end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ProcessId {
     pub(super) node: usize,
     pub(super) epoch: u64,
 }
 
-/// Who awaits the reply to a call.
+/// The process that waits for the reply to a call, and its id for the call.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Caller {
     pub(super) process: ProcessId,
     pub(super) call_id: u64,
 }
 
-/// What a step begins with.
-fn kind_of_step(command: Option<&Command>) -> &'static str {
+/// Describes the first command of a step, or the lack of one.
+fn step_kind(command: Option<&Command>) -> &'static str {
     match command {
         None => "a tick",
         Some(Command::Heartbeat { .. }) => "a heartbeat",
@@ -70,32 +73,37 @@
 }
 
 impl SimulatedCluster {
-    /// Starts a node's process.
+    /// Starts a node's process with a new engine.
     pub(crate) fn start(&mut self, node: usize) {
         let text = settings_text(self.gpus_max, self.upcoming_limits);
-        let settings = Arc::new(settings_of(&text, node, self.nodes.len()));
+        let settings = Arc::new(node_settings(&text, node, self.nodes.len()));
         self.nodes[node].epoch += 1;
         self.nodes[node].started_at = self.now;
         let seed = self.seed_of(node);
         self.nodes[node].engine = Some(Engine::new(settings, seed));
-        self.record_start(node);
+        self.record_process_start(node);
         self.schedule(0, Event::Tick { node });
         self.schedule(FIRST_ANNOUNCEMENT_AFTER, Event::Announce { node });
     }
 
-    /// The seed of the engine of a node's process: fixed, so that each run is the same.
+    /// Returns the seed for the engine of a node's current process. It depends only on the node and
+    /// its epoch, so that every run of a test is the same.
     pub(super) fn seed_of(&self, node: usize) -> u64 {
         node as u64 * 1000 + self.nodes[node].epoch
     }
 
-    /// Ends a node's process.
+    /// Ends a node's process without a shutdown.
     pub(crate) fn crash(&mut self, node: usize) {
         self.nodes[node].engine = None;
         self.nodes[node].epoch += 1;
-        self.store.end_watches_of(node);
+        self.store.remove_watches_of_node(node);
     }
 
-    /// Ends the leader's process; the node that led.
+    /// Ends the leader's process and returns its node.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there is no leader.
     pub(crate) fn crash_leader(&mut self) -> usize {
         let leader = self.leader().unwrap();
         self.crash(leader);
@@ -109,7 +117,7 @@
         }
     }
 
-    /// Starts all nodes whose process is down.
+    /// Starts the process of each node whose process is down.
     pub(crate) fn start_all_nodes(&mut self) {
         for node in 0..self.nodes.len() {
             if self.engine(node).is_none() {
@@ -118,37 +126,42 @@
         }
     }
 
-    /// Ends a node's process, and starts it again that much later.
+    /// Ends a node's process, lets the downtime pass, and starts the process again.
     pub(crate) fn restart(&mut self, node: usize, downtime: Millis) {
         self.crash(node);
         self.run(downtime);
         self.start(node);
     }
 
-    /// The node that leads, by the latest term if several think that they do.
+    /// Returns the leader: of the nodes that consider themselves leader, the one with the highest
+    /// term.
     pub(crate) fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
-            .filter(|node| self.engine(*node).is_some_and(|it| it.status().leading))
+            .filter(|node| {
+                self.engine(*node)
+                    .is_some_and(|engine| engine.status().leading)
+            })
             .max_by_key(|node| self.engine(*node).map(|engine| engine.status().term))
     }
 
-    /// The leader's term; 0 without a leader.
+    /// Returns the leader's term, or 0 if there is no leader.
     pub(crate) fn term(&self) -> u64 {
         let leader = self.leader().and_then(|node| self.engine(node));
         leader.map_or(0, |engine| engine.status().term)
     }
 
-    /// The engine of a node, if its process is up.
+    /// Returns the engine of a node, if its process is running.
     pub(crate) fn engine(&self, node: usize) -> Option<&Engine> {
         self.nodes[node].engine.as_ref()
     }
 
-    /// The present process of a node.
+    /// Returns the id of a node's current process.
     pub(super) fn process_of(&self, node: usize) -> ProcessId {
         let epoch = self.nodes[node].epoch;
         ProcessId { node, epoch }
     }
 
+    /// Sends a node's announcement to all peers that it can reach, and schedules the next one.
     pub(super) fn announce(&mut self, from: usize) {
         let Some(status) = self.engine(from).map(Engine::status) else {
             return;
@@ -168,7 +181,12 @@
         self.schedule(ANNOUNCEMENT_INTERVAL, Event::Announce { node: from });
     }
 
-    /// Lets the engine of a process take a step, if that process still runs.
+    /// Calls the engine of a process with a batch of commands and applies the effects. Does nothing
+    /// if the process is no longer running.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a machine's snapshot in the engine is stale.
     pub(super) fn step(&mut self, process: ProcessId, batch: Vec<Command>) {
         let node = &mut self.nodes[process.node];
         if node.epoch != process.epoch {
@@ -177,9 +195,9 @@
         let Some(engine) = node.engine.as_mut() else {
             return;
         };
-        // Each process has a monotonic clock of its own.
+        // The monotonic clock of a process starts at 0 with the process.
         let (uptime, unix_time) = (self.now - node.started_at, self.now);
-        let kind = kind_of_step(batch.first());
+        let kind = step_kind(batch.first());
         let recording =
             super::recording::Recording::begin(self.recorder.as_mut(), uptime, unix_time, &batch);
         let begun_at = Instant::now();
@@ -193,8 +211,8 @@
         self.engine_time += duration;
         let longest = self.longest_steps.entry(kind).or_default();
         *longest = duration.max(*longest);
-        let small = self.workers.len() < SMALL_FLEET_MACHINES;
-        if small || self.last_sequence.is_multiple_of(SNAPSHOT_CHECK_EVENTS) {
+        let is_small_fleet = self.workers.len() < SMALL_FLEET_MACHINES;
+        if is_small_fleet || self.last_sequence.is_multiple_of(SNAPSHOT_CHECK_EVENTS) {
             assert!(engine.snapshots_agree(), "a machine's snapshot is stale");
         }
         for effect in effects {
--- a/src/engine/tests/simulated_cluster/workers/heartbeats.rs
+++ b/src/engine/tests/simulated_cluster/workers/heartbeats.rs
@@ -1,24 +1,25 @@
-//! Heartbeats of the workers, and the replies to them.
+//! The workers' heartbeats and the replies to them.
 
 use super::super::events::Event;
-use super::super::settings::node_of_name;
+use super::super::settings::node_index;
 use super::super::{Millis, PendingHeartbeat, SimulatedCluster, cloud::MACHINE_TYPE};
 use super::{WORKER_LEASE, Worker};
 use crate::engine::{Command, Reply};
 use crate::wire::worker::{Heartbeat, HeartbeatResponse, Task};
 
-/// Between a reply without news and the next heartbeat.
+/// Time from a response that changes no task of the worker to the next heartbeat.
 const HEARTBEAT_INTERVAL: Millis = 3_000;
-/// The least time between two heartbeats.
+/// Minimum time between two heartbeats of a worker.
 pub(super) const MIN_HEARTBEAT_INTERVAL: Millis = 500;
-/// Between a redirect and the next heartbeat.
+/// Time from a redirect to the next heartbeat.
 const REDIRECT_DELAY: Millis = 100;
-/// Between a refusal and the next heartbeat.
+/// Time from a refusal or a timeout to the next heartbeat.
 const RETRY_DELAY: Millis = 1_000;
-/// How long a worker waits for a reply.
+/// Time for which a worker waits for the reply to a heartbeat.
 const REPLY_TIMEOUT: Millis = 4_000;
 
 impl Worker {
+    /// Creates the next heartbeat and keeps a copy of it.
     fn next_heartbeat(&mut self, machine: &str, preemption_notice_s: Option<f64>) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|(id, task)| Task {
@@ -44,14 +45,20 @@
         heartbeat
     }
 
-    /// Whether a reply, or none after the timeout, belongs to the heartbeat in flight.
-    fn expects(&self, sequence: u64, reply: Option<&Reply>, now: Millis) -> bool {
+    /// Reports whether a reply, or a timeout if there is none, belongs to the heartbeat in flight.
+    fn matches_in_flight_heartbeat(
+        &self,
+        sequence: u64,
+        reply: Option<&Reply>,
+        now: Millis,
+    ) -> bool {
         let too_early = reply.is_none() && self.last_sent_at + REPLY_TIMEOUT > now;
         self.awaits_reply && self.sequence >= sequence && !too_early
     }
 
-    /// Whether a higher fencing token makes it send a heartbeat early: once in half a lease.
-    pub(super) fn takes_early_heartbeat(&mut self, now: Millis) -> bool {
+    /// Reports whether a higher fencing token may cause an early heartbeat now, and if so records
+    /// the time. Early heartbeats are limited to one per half lease.
+    pub(super) fn claim_early_heartbeat(&mut self, now: Millis) -> bool {
         let last = self.last_early_heartbeat_at;
         let due = last.is_none_or(|at| now >= at + WORKER_LEASE / 2);
         if due {
@@ -62,7 +69,7 @@
 }
 
 impl SimulatedCluster {
-    /// Sets when the worker's next heartbeat is due; one that was due at another time is not sent.
+    /// Schedules the worker's next heartbeat. It replaces a heartbeat that was scheduled before.
     pub(in super::super) fn schedule_heartbeat(&mut self, machine: &str, delay: Millis) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.next_heartbeat_at = self.now + delay;
@@ -71,25 +78,28 @@
         }
     }
 
-    /// Every worker sends a heartbeat within this time from now.
-    pub(crate) fn heartbeat_all_within(&mut self, duration: Millis) {
+    /// Reschedules the next heartbeats of all workers so that they are spread over the given
+    /// duration from now.
+    pub(crate) fn schedule_all_heartbeats_within(&mut self, duration: Millis) {
         let machines: Vec<String> = self.workers.keys().cloned().collect();
         for (number, machine) in (0..).zip(machines) {
             self.schedule_heartbeat(&machine, number % duration);
         }
     }
 
-    /// Late copies of heartbeats, newest first, arrive at every node that is up; their replies are
+    /// Delivers duplicates of heartbeats, newest first, to every running node. Their replies are
     /// lost.
     pub(crate) fn redeliver_heartbeats(&mut self, heartbeats: &[Heartbeat]) {
         for node in 0..self.nodes.len() {
             for heartbeat in heartbeats.iter().rev().cloned() {
                 let reply = self.next_sequence();
-                self.tell(node, Command::Heartbeat { heartbeat, reply });
+                self.step_with_command(node, Command::Heartbeat { heartbeat, reply });
             }
         }
     }
 
+    /// Sends a worker's heartbeat, or reschedules it if the machine is hung or another heartbeat is
+    /// in flight.
     pub(in super::super) fn send_heartbeat(&mut self, machine: &str) {
         let hung = self.faults.hung_machines.contains(machine);
         let notice = self.faults.preemption_notices.get(machine).copied();
@@ -123,7 +133,7 @@
         }
     }
 
-    /// A copy of every nth heartbeat arrives late.
+    /// Schedules the late arrival of a duplicate for every nth heartbeat.
     fn schedule_duplicate(&mut self, heartbeat: &Heartbeat) {
         let number = self.heartbeats_sent;
         if number.is_multiple_of(self.faults.duplicate_heartbeat_every) {
@@ -132,7 +142,7 @@
         }
     }
 
-    /// The reply to a heartbeat arrives, or its timeout has passed.
+    /// Handles the arrival of the reply to a heartbeat, or the timeout if the reply is `None`.
     pub(in super::super) fn receive_reply(
         &mut self,
         machine: &str,
@@ -140,15 +150,15 @@
         reply: Option<Reply>,
     ) {
         let hung = self.faults.hung_machines.contains(machine);
-        let lost = self.faults.machines_without_replies.contains(machine);
-        if reply.is_some() && (hung || lost) {
+        let replies_lost = self.faults.machines_without_replies.contains(machine);
+        if reply.is_some() && (hung || replies_lost) {
             return;
         }
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
         if hung {
-            // Its timeout is handled once it resumes.
+            // A hung machine handles the timeout once it resumes.
             let timeout = Event::ReceiveReply {
                 machine: machine.into(),
                 sequence,
@@ -156,14 +166,14 @@
             };
             return self.schedule(MIN_HEARTBEAT_INTERVAL, timeout);
         }
-        if !worker.expects(sequence, reply.as_ref(), self.now) {
+        if !worker.matches_in_flight_heartbeat(sequence, reply.as_ref(), self.now) {
             return;
         }
         worker.awaits_reply = false;
         let delay = match reply {
             Some(Reply::HeartbeatAccepted(response)) => self.accept_response(machine, &response),
             Some(Reply::RedirectToLeader(Some(leader))) => {
-                worker.node = node_of_name(&leader);
+                worker.node = node_index(&leader);
                 REDIRECT_DELAY
             }
             _ => {
@@ -174,7 +184,8 @@
         self.schedule_heartbeat(machine, delay);
     }
 
-    /// Executes the leader's commands; the time to the next heartbeat.
+    /// Accepts the leader's response unless its fencing token is stale, executes the commands, and
+    /// returns the time until the next heartbeat.
     fn accept_response(&mut self, machine: &str, response: &HeartbeatResponse) -> Millis {
         let Some(worker) = self.workers.get_mut(machine) else {
             return HEARTBEAT_INTERVAL;
@@ -183,12 +194,12 @@
             return HEARTBEAT_INTERVAL;
         }
         let new_leader = response.fencing_token > worker.fencing_token;
-        let early = new_leader && worker.takes_early_heartbeat(self.now);
+        let send_early = new_leader && worker.claim_early_heartbeat(self.now);
         worker.fencing_token = response.fencing_token;
         worker.last_accepted_at = worker.last_sent_at;
         let tasks_before = worker.tasks.len();
         self.execute(machine, &response.commands);
-        if early || self.workers[machine].tasks.len() != tasks_before {
+        if send_early || self.workers[machine].tasks.len() != tasks_before {
             MIN_HEARTBEAT_INTERVAL
         } else {
             HEARTBEAT_INTERVAL
