--- a/src/cloud/client.rs
+++ b/src/cloud/client.rs
@@ -33,9 +33,9 @@
     ///
     /// # Errors
     ///
-    /// Returns [`CloudError::NoCapacity`] if the cloud reports that it has no capacity for a rental,
-    /// and [`CloudError::Failed`] if the request gets no response, the response has another error
-    /// status, or its body cannot be decoded.
+    /// Returns [`CloudError::NoCapacity`] if the cloud reports that it has no capacity for a
+    /// rental, and [`CloudError::Failed`] if the request gets no response, the response has another
+    /// error status, or the body can't be decoded.
     pub async fn call(&self, call: &CloudCall) -> Result<CloudReply, CloudError> {
         self.limiter.acquire(1.0, rate_reserve(call)).await;
         let response = self
@@ -101,7 +101,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`CloudError::Failed`] if the body cannot be decoded.
+/// Returns [`CloudError::Failed`] if the body can't be decoded.
 fn decode_body<T: DeserializeOwned>(response: &HttpResponse) -> Result<T, CloudError> {
     decode(&response.body).map_err(|error| CloudFailure::from(error).into())
 }
--- a/src/cloud/mod.rs
+++ b/src/cloud/mod.rs
@@ -54,7 +54,7 @@
     /// The request got no response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The response cannot be decoded.
+    /// The response can't be decoded.
     #[error("unreadable response: {0}")]
     Undecodable(#[from] DecodeError),
     /// The response has a status other than 200.
--- a/src/node/driver.rs
+++ b/src/node/driver.rs
@@ -17,7 +17,7 @@
 type PendingReplies = HashMap<ReplyId, oneshot::Sender<Reply>>;
 
 /// Executes the engine's effects: holds the clients that make the engine's calls, and the handle
-/// that returns the outcomes of the calls to the engine.
+/// through which the outcomes return to the engine.
 pub(super) struct Driver {
     store: Arc<StoreClient>,
     cloud: Arc<CloudClient>,
--- a/src/workers/client.rs
+++ b/src/workers/client.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Sends direct commands, with at most [`constants::MAX_WORKER_CALLS`] messages in flight. Clones share
-/// the queue.
+/// Sends direct commands, with at most [`constants::MAX_WORKER_CALLS`] messages in flight. Clones
+/// share the queue.
 #[derive(Debug, Clone)]
 pub struct WorkerClient {
     http: HttpClient,
--- a/src/workers/queue.rs
+++ b/src/workers/queue.rs
@@ -26,9 +26,9 @@
 }
 
 impl CallQueue {
-    /// Returns the call if it may be made now. Otherwise the call is queued, or dropped if its queue
-    /// is full. The caller must call [`CallQueue::finish_and_take_next`] once for each call that was
-    /// returned and has ended.
+    /// Returns the call if it may be made now. Otherwise the call is queued, or dropped if its
+    /// queue is full. For each returned call, the caller must call
+    /// [`CallQueue::finish_and_take_next`] once after the call has ended.
     pub(super) fn start_or_enqueue(&mut self, call: WorkerCall) -> Option<WorkerCall> {
         if self.in_flight < constants::MAX_WORKER_CALLS {
             self.in_flight += 1;
--- a/src/workers/queue/tests.rs
+++ b/src/workers/queue/tests.rs
@@ -16,8 +16,9 @@
     WorkerCall { address, commands }
 }
 
-/// Guards against dropped stops: a round sends a token update to each of its machines, and the stops
-/// of a gang that are enqueued after them must neither wait for them nor find the queue full.
+/// Guards against dropped stops: a round sends a token update to each of its machines, and the
+/// stops of a gang that are enqueued later must neither wait for the token updates nor find the
+/// queue full.
 #[test]
 fn stops_are_sent_before_token_updates() {
     let mut queue = CallQueue::default();
