--- a/src/engine/authority.rs
+++ b/src/engine/authority.rs
@@ -37,11 +37,12 @@
     /// Returns how long after its last contact with the state service a leader still responds to
     /// heartbeats.
     ///
-    /// A leader that cannot reach any peer either has more likely lost its own connections than
-    /// met an outage of the state service. Its successor is then already elected and waits for the
-    /// workers, so such a leader releases them after half the time. A follower that responds in
-    /// place of the leader does not shorten the time: it redirects workers periodically, and in a
-    /// zone that is cut off from the rest the workers' tasks would end for no benefit.
+    /// A leader that has received no recent announcement from any peer either has more likely lost
+    /// its own connections than met an outage of the state service. Its successor is then already
+    /// elected and waits for the workers, so such a leader releases them after half the time. A
+    /// follower that responds in place of the leader does not shorten the time: it redirects
+    /// workers periodically, and in a zone that is cut off from the rest the workers' tasks would
+    /// end for no benefit.
     fn leader_grace(&self) -> Duration {
         let grace = self.context.timing().leader_grace;
         match self.peers.is_isolated(self.context.now()) {
--- a/src/engine/election.rs
+++ b/src/engine/election.rs
@@ -79,7 +79,7 @@
     }
 
     /// Begins a campaign if no other node leads, this node's view of the live records is current,
-    /// and a campaign is due.
+    /// the machine types are known, and a campaign is due.
     fn campaign_when_due(&mut self) {
         let now = self.context.now();
         let own_node = &self.context.settings().node;
--- a/src/engine/heartbeats/exits.rs
+++ b/src/engine/heartbeats/exits.rs
@@ -6,7 +6,8 @@
 use crate::wire::worker::{ExitReason, Task};
 
 impl Engine {
-    /// Handles a task that the heartbeat of its machine reports as exited.
+    /// Handles a task that the heartbeat of a machine reports as exited. The exit of an attempt
+    /// that is not placed on the machine counts only if it completes a task of an array.
     pub(super) fn on_task_exited(&mut self, machine: &MachineId, id: &TaskId, task: &Task) {
         let Some(job) = self.jobs.get(&id.job) else {
             return;
@@ -53,8 +54,7 @@
             return;
         };
         job.consecutive_failures = 0;
-        // If the task completed, another attempt of it that is still placed is redundant and is
-        // stopped.
+        // Another attempt of the task may still be placed. It is no longer needed and is stopped.
         if let Some(other_attempt) = job.placements.get_mut(&id.index) {
             other_attempt.request_stop(0, now);
         }
@@ -77,8 +77,8 @@
     }
 
     /// Reports whether the worker may forget a task that has exited. Only a completion has to be
-    /// durable first. After any other exit the task is queued again; a new leader does the same with
-    /// a task that its machine no longer reports.
+    /// durable first. After any other exit the task is queued again; a new leader does the same
+    /// with a task that its machine no longer reports.
     pub(super) fn may_forget(&self, id: &TaskId, task: &Task) -> bool {
         let Some(job) = self.jobs.get(&id.job) else {
             return true;
--- a/src/engine/heartbeats/failures.rs
+++ b/src/engine/heartbeats/failures.rs
@@ -7,8 +7,8 @@
 
 impl Engine {
     /// Handles the failure of a task: delays the job's restart and records the job as failed on the
-    /// machine. A machine on which [`constants::QUARANTINE_AFTER_JOBS`] jobs have failed is
-    /// quarantined.
+    /// machine. A machine on which [`constants::QUARANTINE_AFTER_JOBS`] jobs have failed since a
+    /// task last completed there is quarantined.
     pub(super) fn on_task_failed(&mut self, machine: &MachineId, id: &JobId) {
         self.delay_restart(id);
         if let Some(job) = self.jobs.get_mut(id) {
@@ -24,8 +24,9 @@
         }
     }
 
-    /// Handles a job's completion of a task on `succeeded_on`. The other machines, on which the job
-    /// failed before, are taken to be at fault and are quarantined.
+    /// Handles the completion of a job's task on `succeeded_on`, which clears the failures recorded
+    /// for that machine. The other machines on which the job failed before are taken to be at fault
+    /// and are quarantined.
     pub(super) fn attribute_failures(
         &mut self,
         succeeded_on: &MachineId,
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Delays the job's next start by a backoff that doubles with each consecutive failure.
+    /// Delays the job's next start by a backoff that doubles with each consecutive failure, up to
+    /// [`constants::TASK_FAILURE_MAX_BACKOFF`].
     pub(super) fn delay_restart(&mut self, id: &JobId) {
         let now = self.context.now();
         if let Some(job) = self.jobs.get_mut(id) {
--- a/src/engine/heartbeats/follower.rs
+++ b/src/engine/heartbeats/follower.rs
@@ -1,5 +1,5 @@
-//! Serves heartbeats on a follower: the worker is redirected to the leader or, while this node cannot
-//! reach the leader, served in the leader's place.
+//! Serves heartbeats on a follower: the worker is redirected to the leader or, while this node
+//! can't reach the leader, served in the leader's place.
 
 use crate::engine::Engine;
 use crate::engine::messages::Reply;
--- a/src/engine/heartbeats/mod.rs
+++ b/src/engine/heartbeats/mod.rs
@@ -38,8 +38,9 @@
 }
 
 impl Engine {
-    /// Handles a worker's heartbeat. A leader's response to a heartbeat that confirms the term is sent
-    /// at the end of the step or later; every other reply is sent immediately.
+    /// Handles a worker's heartbeat. If this node leads, has recovered, and reconciles the
+    /// heartbeat, the response is sent at the end of the step or later. Every other reply is sent
+    /// immediately.
     pub(super) fn on_heartbeat(&mut self, heartbeat: &Heartbeat, reply_id: ReplyId) {
         let Some(leader) = self.leadership.leader() else {
             let reply = self.respond_as_follower(heartbeat);
@@ -62,8 +63,8 @@
         let machine = MachineId::from(&*heartbeat.machine);
         let fencing_token = leader.fencing_token_for(&machine, worker_token).0;
         let has_recovered = leader.has_recovered();
-        // Until recovery is complete and the worker has confirmed the term, the response only renews
-        // the worker's lease and stops the tasks of cancelled jobs.
+        // Until recovery is complete and the worker has confirmed the term, the response only
+        // renews the worker's lease and stops the tasks of cancelled jobs.
         if has_recovered
             && self.record_machine_status(heartbeat, confirmation)
             && confirmation == TermConfirmation::Confirmed
@@ -108,7 +109,7 @@
     }
 }
 
-/// Returns a stop that leaves no time for a checkpoint, for a task that must not run on its machine.
+/// Returns a stop without time for a checkpoint, for a task that must not run on its machine.
 fn stop_at_once(task: &Task) -> WorkerCommand {
     WorkerCommand::Stop {
         task: task.task.clone(),
--- a/src/engine/heartbeats/reconciliation.rs
+++ b/src/engine/heartbeats/reconciliation.rs
@@ -48,8 +48,8 @@
         commands
     }
 
-    /// Handles a task that has exited. Returns a command to forget the task once the leader no longer
-    /// needs the worker to report the exit.
+    /// Handles a task that has exited. Returns a command to forget the task once the leader no
+    /// longer needs the worker to report the exit.
     fn reconcile_exited(
         &mut self,
         machine: &MachineId,
@@ -63,7 +63,8 @@
         })
     }
 
-    /// Records the machine's orphaned tasks, and that the machine is in use if tasks are placed on it.
+    /// Records the machine's orphaned tasks. Also records that the machine is in use, if tasks are
+    /// placed on it.
     fn record_orphaned_tasks(&mut self, id: &MachineId, orphaned: Attempts) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -156,8 +157,8 @@
         machine.tasks.iter().filter(is_absent).cloned().collect()
     }
 
-    /// Reports whether a task that the machine's heartbeat `sequence` does not report is proven to be
-    /// gone and its start is not to be sent again.
+    /// Reports whether a task that the machine's heartbeat `sequence` does not report is proven to
+    /// be gone and its start is not to be sent again.
     fn is_proven_gone(&self, task: &TaskId, sequence: HeartbeatSequence) -> bool {
         let Some(placement) = self.jobs.placement(task) else {
             return false;
--- a/src/engine/heartbeats/redirects.rs
+++ b/src/engine/heartbeats/redirects.rs
@@ -1,5 +1,5 @@
-//! Records which workers a follower has redirected to, or served in place of, a leader that it cannot
-//! reach.
+//! Records what a follower has done with the workers of a leader that the follower can't reach:
+//! redirected them to the leader, or served them in the leader's place.
 
 use crate::constants;
 use crate::model::{MachineId, Timestamp};
@@ -31,14 +31,16 @@
 }
 
 impl Redirects {
-    /// Decides whether this node serves the worker in place of a leader that the node cannot reach
-    /// (true) or redirects the worker to that leader (false), and records the decision.
+    /// Decides whether this node serves the worker in place of a leader that the node can't reach
+    /// (true) or redirects the worker to that leader (false), and records the decision. If the
+    /// records of [`constants::MAX_REDIRECTS_REMEMBERED`] workers are kept, the decision about any
+    /// further worker is not recorded.
     ///
-    /// The worker may be able to reach the leader although this node cannot: connections between
-    /// nodes may be refused while all other connections work, and a new machine must not be kept from
-    /// its leader. A worker that has seen the leader's term has lost its connection to the leader and
-    /// is served immediately. Any other worker is redirected first, and served if it comes back. Every
-    /// worker is redirected again after half a lease.
+    /// The worker may be able to reach the leader although this node can't: connections between
+    /// nodes may be refused while all other connections work, and a new machine must not be kept
+    /// from its leader. A worker that has seen the leader's term has lost its connection to the
+    /// leader and is served immediately. Any other worker is redirected first, and served if it
+    /// comes back. Every worker is redirected again after half a lease.
     pub(super) fn should_serve(
         &mut self,
         machine: MachineId,
@@ -52,8 +54,8 @@
         if entry.is_some_and(|redirect| now < redirect.served_until) {
             return true;
         }
-        // The worker was redirected and has come back before its lease could have expired, or it has
-        // no recent entry and has seen the term.
+        // The worker was redirected and has come back before its lease could have expired, or it
+        // has no recent entry and has seen the term.
         let should_serve_now = entry.map_or(has_seen_term, |redirect| {
             redirect.redirected_at > redirect.served_until
         });
--- a/src/engine/heartbeats/responses.rs
+++ b/src/engine/heartbeats/responses.rs
@@ -67,10 +67,10 @@
 
 impl Engine {
     /// Responds to heartbeats at the end of the step in which they were received, so that the
-    /// response carries the commands that result from the step. While a round is about to be planned,
-    /// or is being written with starts for the machine, the response is held back for a few
-    /// milliseconds, at most [`constants::HEARTBEAT_HOLD_TIMEOUT`]. Otherwise the starts would wait
-    /// seconds for the machine's next heartbeat.
+    /// response contains the commands that result from the step. While a round is about to be
+    /// planned, or is being written with starts for the machine, the response is held back: usually
+    /// for a few milliseconds, at most for [`constants::HEARTBEAT_HOLD_TIMEOUT`]. Otherwise the
+    /// starts would wait seconds for the machine's next heartbeat.
     pub(in crate::engine) fn respond_to_pending_heartbeats(&mut self) {
         for mut pending in self.pending_responses.take_all() {
             let Some(leader) = self.leadership.leader() else {
--- a/src/engine/live_records.rs
+++ b/src/engine/live_records.rs
@@ -213,9 +213,9 @@
             return;
         }
         if job.is_open() {
-            // Only a leader removes a record. This node still considers the job open, so a
-            // successor has ended it. Tasks that are still placed are stopped, so that none keeps
-            // running untracked.
+            // Only a leader removes a record, and this node still considers the job open, so
+            // another leader has ended it. Tasks that are still placed are stopped, so that none
+            // keeps running untracked.
             job.phase = JobPhase::Done { recorded: true };
             job.stop_all_tasks(0, self.context.now());
         } else if matches!(job.phase, JobPhase::Done { .. }) {
--- a/src/engine/live_view.rs
+++ b/src/engine/live_view.rs
@@ -69,7 +69,7 @@
         self.retry.record_success(now);
     }
 
-    /// Records a key found by the listing in progress.
+    /// Records a job whose key the listing in progress has found. Other keys are ignored.
     pub(super) fn record_listed_key(&mut self, key: &str) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             self.listed.insert(id.into());
--- a/src/engine/machines/mod.rs
+++ b/src/engine/machines/mod.rs
@@ -1,11 +1,11 @@
 //! The machines of a leader, each with the cached snapshot that scheduling uses.
 //!
-//! A round is planned up to ten times a second, and the resources available on a machine are computed
-//! from its tasks. A snapshot is therefore rebuilt only for a machine that has changed since the last
-//! build. Code that changes a machine or its tasks obtains the machine from [`Machines::get_mut`],
-//! which marks it as dirty. Most heartbeats change nothing that scheduling depends on; they are
-//! recorded with [`Machines::update`], which marks the machine as dirty only if scheduling is
-//! affected.
+//! A round is planned up to ten times a second, and the resources available on a machine are
+//! computed from its tasks. A snapshot is therefore rebuilt only for a machine that has changed
+//! since the last build. Code that changes a machine or its tasks obtains the machine from
+//! [`Machines::get_mut`], which marks it as dirty. Most heartbeats change nothing that scheduling
+//! depends on; they are recorded with [`Machines::update`], which marks the machine as dirty only
+//! if scheduling is affected.
 
 mod snapshot;
 
@@ -66,15 +66,15 @@
         Some(machine)
     }
 
-    /// Marks a machine as dirty. This is needed when the stage of a task on the machine has changed.
+    /// Marks a machine as dirty. Must be called when the stage of a task on the machine changes.
     pub(super) fn mark_dirty(&mut self, id: &MachineId) {
         self.dirty.insert(id.clone());
     }
 
-    /// Applies a change to a machine that must not touch its tasks and images. Returns the result of
-    /// `change`, or `None` if the machine is unknown. The machine is marked as dirty if the change
-    /// affects scheduling, and also while the machine fetches images, because less remains to be
-    /// fetched at each heartbeat.
+    /// Applies a change to a machine. `change` must not touch the machine's tasks and images.
+    /// Returns the result of `change`, or `None` if the machine is unknown. The machine is marked
+    /// as dirty if the change affects scheduling, and also while the machine fetches images,
+    /// because less remains to be fetched at each heartbeat.
     pub(super) fn update<R>(
         &mut self,
         id: &MachineId,
@@ -110,8 +110,8 @@
         self.by_id.remove(id)
     }
 
-    /// Rebuilds the snapshots of dirty machines. If the machine types have changed, all machines count
-    /// as dirty.
+    /// Rebuilds the snapshots of dirty machines. If the machine types have changed, all machines
+    /// count as dirty.
     pub(super) fn refresh_snapshots(
         &mut self,
         jobs: &Jobs,
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Builds the snapshot of a machine at the time `at`. Returns `None` if the machine or its type is
-    /// unknown.
+    /// Builds the snapshot of a machine at the time `at`. Returns `None` if the machine or its type
+    /// is unknown.
     fn build_snapshot(&self, id: &MachineId, jobs: &Jobs, at: Timestamp) -> Option<CachedSnapshot> {
         let machine = self.by_id.get(id)?;
         let machine_type = self.machine_types.as_ref()?.get(&machine.machine_type)?;
--- a/src/engine/machines/snapshot.rs
+++ b/src/engine/machines/snapshot.rs
@@ -19,8 +19,8 @@
     pub(super) built_at: Timestamp,
     /// The snapshot as scheduling uses it.
     pub(super) snapshot: MachineSnapshot,
-    /// Whether the machine accepts tasks and has no unconfirmed start. A machine with an unconfirmed
-    /// start is locked by the round that placed it.
+    /// Whether the machine accepts tasks and has no unconfirmed start. A machine with an
+    /// unconfirmed start is locked by the round of that start: it gets no starts of other rounds.
     pub(super) schedulable: bool,
 }
 
--- a/src/engine/messages.rs
+++ b/src/engine/messages.rs
@@ -24,7 +24,7 @@
     Heartbeat {
         /// The decoded message.
         heartbeat: Heartbeat,
-        /// Id of the command, to which the response is addressed.
+        /// Id of the command, to which the reply is addressed.
         reply: ReplyId,
     },
     /// Asks how many tasks of a job have completed and how many are running, for display.
@@ -188,7 +188,7 @@
 }
 
 impl PendingCall {
-    /// Reports whether only a leader makes such a call.
+    /// Reports whether only a leader or a candidate makes such a call.
     pub(super) fn is_leader_only(&self) -> bool {
         !matches!(
             self,
--- a/src/engine/outbox.rs
+++ b/src/engine/outbox.rs
@@ -49,9 +49,9 @@
         self.pending_calls.remove(&call_id)
     }
 
-    /// Drops the calls in flight that only a leader makes, so that their outcomes are ignored. An
-    /// outcome of one term must not be applied in another, because the placements and completions
-    /// to which it refers are not known there.
+    /// Drops the calls in flight that only a leader or a candidate makes, so that their outcomes
+    /// are ignored. An outcome of one term must not be applied in another, because the placements
+    /// and completions to which it refers are not known there.
     pub(super) fn drop_leader_calls(&mut self) {
         self.pending_calls
             .retain(|_, pending| !pending.is_leader_only());
--- a/src/engine/recovery.rs
+++ b/src/engine/recovery.rs
@@ -68,7 +68,8 @@
     }
 
     /// Records that a page was read and advances to the next page or stage. `next` is the page's
-    /// last key if more pages follow. Returns the stage of the page and whether it is the last one.
+    /// last key if more pages follow. Returns the stage of the page and whether the page is the
+    /// last one of the recovery.
     fn on_page_read(&mut self, next: Option<String>, now: Timestamp) -> PageRead {
         self.retry.record_success(now);
         let stage = self.stage;
@@ -94,9 +95,9 @@
 impl Engine {
     /// Reads the next page if one is due.
     ///
-    /// The first read waits until all jobs are known that an earlier leader may have placed. A
-    /// round that names an unknown job is not counted, so the job's running tasks would be started
-    /// a second time. The watch may lag by seconds when the state service is slow.
+    /// The first read waits until all jobs are known that an earlier leader may have placed. The
+    /// starts of an unknown job are not recovered, so its running tasks would be started a second
+    /// time. The watch may lag by seconds when the state service is slow.
     ///
     /// A failed read is retried without limit. In an outage of the state service no other node
     /// could recover either, and the workers keep running their tasks; a leader that is the only
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Applies a progress record. Returns `None` if the record can't be decoded.
+    /// Applies a progress record. Returns `None` if the record or its key can't be decoded.
     fn recover_progress(&mut self, key: &str, record: &ProgressRecord, version: u64) -> Option<()> {
         let (id, first_task) = records::parse_progress_key(key)?;
         let Some(job) = self.jobs.get_mut(&id) else {
--- a/src/engine/retry.rs
+++ b/src/engine/retry.rs
@@ -6,7 +6,8 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// The schedule of a repeated call. The pause before the next call doubles with each failure.
+/// The schedule of a repeated call. The pause before the next call doubles with each failure, up to
+/// a maximum.
 #[derive(Debug, Default)]
 pub(super) struct Retry {
     next_at: Timestamp,
@@ -41,7 +42,8 @@
     }
 
     /// Records that the call failed. The next one is due after a pause twice as long as the last
-    /// one, within the configured bounds and reduced by a random jitter of up to one half.
+    /// one, but at least [`constants::RETRY_INITIAL_PAUSE`] and at most
+    /// [`constants::RETRY_MAX_PAUSE`]. Random jitter then shortens the pause by up to one half.
     pub(super) fn record_failure(&mut self, context: &mut Context) {
         self.in_flight = false;
         self.pause =
--- a/src/engine/stopping.rs
+++ b/src/engine/stopping.rs
@@ -22,8 +22,9 @@
         self.send_stop_commands(&task.job);
     }
 
-    /// Stops the remaining tasks of a gang that has lost a task. The tasks are stopped at once, even
-    /// if they have noticed the loss themselves, and get the grace period to write a checkpoint.
+    /// Stops the remaining tasks of a gang that has lost a task. The stop commands are sent at
+    /// once, even to tasks that have noticed the loss themselves, and leave the grace period for a
+    /// checkpoint.
     pub(super) fn stop_rest_of_gang(&mut self, id: &JobId) {
         let now = self.context.now();
         let Some(job) = self.jobs.get_mut(id) else {
@@ -68,7 +69,8 @@
     }
 
     /// Requests an immediate heartbeat from a machine, so that task starts written for the machine
-    /// need not wait for its next regular heartbeat.
+    /// need not wait for its next regular heartbeat. Does nothing if a response to the machine is
+    /// pending, because the starts are sent with that response.
     ///
     /// A worker sends a heartbeat when it receives a higher fencing token. Requests are limited to
     /// two per worker lease. The message contains no command, so a late or repeated delivery does
