--- a/benches/load/fleet.rs
+++ b/benches/load/fleet.rs
@@ -20,7 +20,8 @@
 /// All machines with their workers.
 pub(crate) struct Fleet {
     machines: Mutex<BTreeMap<String, Machine>>,
-    /// Wakes the workers after direct commands, since their next heartbeat may be due earlier.
+    /// Wakes the waiting workers after direct commands, which can make the next heartbeat due
+    /// earlier.
     pub(crate) direct_commands_received: Notify,
     /// Maximum number of machines that the cloud rents.
     capacity: AtomicUsize,
@@ -28,7 +29,8 @@
     /// Number of heartbeats that were answered with 200.
     pub(crate) heartbeats: AtomicU64,
     pub(crate) nodes: Vec<NodeAddress>,
-    /// Time between two heartbeats of a worker without commands or changed tasks.
+    /// Time between two heartbeats of a worker that received no commands and whose number of tasks
+    /// did not change.
     pub(crate) heartbeat_interval: Duration,
 }
 
@@ -83,8 +85,8 @@
             let name = format!("host-{number:06}");
             let machine = Machine::new(&request.zone);
             self.machines().insert(name.clone(), machine);
-            // The worker task ends when its machine is returned. If the task fails, a phase times
-            // out.
+            // The worker task ends when its machine is returned. If the task fails, the phase that
+            // waits for the machine may time out.
             tokio::spawn(self.clone().run_worker(name.clone(), number));
             names.push(name);
         }
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Returns a page of the machine list: the machines that follow `after` in the order of names.
+    /// Returns a page of the machine list: the first `page_items` machines whose names follow
+    /// `after`, in the order of names.
     pub(crate) fn list_page(&self, after: Option<&str>, page_items: usize) -> MachinePage {
         let machines = self.machines();
         let mut remaining = machines
--- a/benches/load/jobs.rs
+++ b/benches/load/jobs.rs
@@ -37,7 +37,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the job is not accepted.
+    /// Panics if there is no response or the job is not accepted.
     pub(crate) async fn submit(&mut self, prefix: &str, kind: JobKind, tasks: u64) {
         self.submitted_jobs += 1;
         let id = format!("{prefix}{:05}", self.submitted_jobs);
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns the submission of a job with these parameters.
+/// Returns the submission of a job. Eight of its tasks fill a machine.
 fn job_submission(id: &str, kind: JobKind, tasks: u64) -> JobSubmission {
     JobSubmission {
         id: id.into(),
--- a/benches/load/machine.rs
+++ b/benches/load/machine.rs
@@ -11,7 +11,7 @@
     DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, Task, TaskState, WorkerCommand,
 };
 
-/// Run time of the tasks of an array.
+/// Time between the start command of an array task and the end of the task.
 const RUN_TIME: Duration = Duration::from_secs(40);
 
 /// A machine with its worker.
@@ -22,7 +22,7 @@
     sequence: u64,
     fencing_token: u64,
     /// Whether direct commands with a higher fencing token have arrived, after which the worker
-    /// sends a heartbeat without waiting for the interval.
+    /// sends a heartbeat without waiting for the usual interval.
     heartbeat_requested: bool,
     tasks: BTreeMap<TaskAttempt, RunningTask>,
 }
@@ -91,8 +91,8 @@
         std::mem::take(&mut self.heartbeat_requested)
     }
 
-    /// Starts the tasks that are fetching their image, and completes array tasks that have run for
-    /// [`RUN_TIME`].
+    /// Starts the tasks that are fetching their image, and completes the array tasks whose start
+    /// command came at least [`RUN_TIME`] ago.
     pub(crate) fn advance_tasks(&mut self) {
         let now = Instant::now();
         for (attempt, task) in &mut self.tasks {
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Executes the commands of a response. Returns whether there were any.
+    /// Executes the commands of a response, unless it is from an earlier leader. Returns whether any
+    /// were executed.
     pub(crate) fn accept_response(&mut self, response: &HeartbeatResponse) -> bool {
         if response.fencing_token < self.fencing_token {
             return false;
--- a/benches/load/main.rs
+++ b/benches/load/main.rs
@@ -2,9 +2,9 @@
 //!
 //! The node is the real program. The state service, the cloud, the workers and the users are
 //! simulated in this process, written from the protocol. Under callgrind, the node's instructions,
-//! allocations and system calls are counted, which depend little on other load of the machine. With
-//! `--native`, the node's memory is read instead. `docs/operating.md` describes how to run the
-//! program.
+//! allocations and function calls are counted. These counts depend little on other load of the
+//! machine. With `--native`, the node's memory is read instead. `docs/operating.md` describes how
+//! to run the program.
 
 // The program panics if it can't measure.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
@@ -36,7 +36,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time in which the node that is started first becomes leader.
+/// Time within which the first node becomes leader, before the second one is started.
 const ELECTION_TIME: Duration = Duration::from_secs(2);
 
 #[tokio::main(flavor = "current_thread")]
--- a/benches/load/network.rs
+++ b/benches/load/network.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use umbervale::http::HttpClient;
 
-/// Timeout of every call and wait, long enough for a node under callgrind.
+/// Timeout of the waits and of all calls except heartbeats, long enough for a node under callgrind.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(300);
 
 /// Serves the routes on an unused loopback port until the program ends.
@@ -18,7 +18,7 @@
     address
 }
 
-/// Returns addresses with ports that are currently unused.
+/// Returns the addresses of a node, with loopback ports that are currently unused.
 pub(crate) async fn find_unused_address(name: &str) -> NodeAddress {
     let front = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let back = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -42,7 +42,7 @@
     };
     tokio::time::timeout(TIMEOUT, wait)
         .await
-        .expect("condition holds before the timeout");
+        .expect("condition did not hold before the timeout");
 }
 
 /// Waits until a node is ready.
@@ -65,5 +65,5 @@
     };
     tokio::time::timeout(TIMEOUT, ready)
         .await
-        .expect("node is ready before the timeout");
+        .expect("node was not ready before the timeout");
 }
--- a/benches/load/phases.rs
+++ b/benches/load/phases.rs
@@ -15,9 +15,9 @@
 use tokio::net::TcpStream;
 use umbervale::wire::user::JobKind;
 
-/// Time in which a scheduling pass considers the submitted jobs.
+/// Time within which a scheduling pass has considered the submitted jobs.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// One in this many machines is reserved for the arrays of the busy phase.
+/// One in this many machines is left free for the arrays of the busy phase.
 const ARRAY_MACHINES_DIVISOR: usize = 8;
 
 /// The load and the measured node.
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Opens connections and sends one request on each of them.
+    /// Opens connections that stay open, and waits for the response to one request on each of them.
     async fn open_connections(&self) -> Vec<TcpStream> {
         let mut connections = Vec::new();
         for _ in 0..self.options.connections {
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Submits services that fill most machines, and waits until their tasks run.
+    /// Submits services that fill most machines, and waits until at least as many tasks run as the
+    /// services have. Tasks of the waiting jobs count as well.
     async fn fill_machines(&mut self) {
         self.fleet.set_capacity(self.options.machines);
         let array_machines = self.options.machines / ARRAY_MACHINES_DIVISOR;
@@ -125,7 +126,7 @@
         wait_until(|| self.fleet.size().running_tasks >= tasks).await;
     }
 
-    /// Submits arrays at a constant rate for the length of a phase.
+    /// Submits `submissions` arrays and pauses for a second, `seconds` times.
     async fn submit_arrays(&mut self) {
         for _ in 0..self.options.seconds {
             for _ in 0..self.options.submissions {
--- a/benches/load/process.rs
+++ b/benches/load/process.rs
@@ -10,7 +10,9 @@
 #[derive(Debug, Clone)]
 pub(crate) struct NodeAddress {
     pub(crate) name: String,
+    /// Address for users and workers.
     pub(crate) front: SocketAddr,
+    /// Address for peers.
     pub(crate) back: SocketAddr,
 }
 
@@ -22,7 +24,7 @@
     pub(crate) cloud: SocketAddr,
 }
 
-/// Memory of a process, in MB.
+/// Memory of a process, in MB of 1024 KiB.
 pub(crate) struct Memory {
     /// Current resident memory.
     pub(crate) now_mb: f64,
--- a/benches/load/profile.rs
+++ b/benches/load/profile.rs
@@ -58,7 +58,7 @@
         self.functions.entry(name.to_owned()).or_default()
     }
 
-    /// Returns the instructions of all functions.
+    /// Returns the number of instructions of all functions.
     pub(crate) fn total_instructions(&self) -> u64 {
         self.functions.values().map(|cost| cost.exclusive).sum()
     }
@@ -82,8 +82,8 @@
     }
 }
 
-/// Parses the instructions of a cost line, which begins with a position. Returns `None` for other
-/// lines.
+/// Parses the number of instructions from a cost line, which begins with a position. Returns `None`
+/// for other lines.
 fn parse_cost(line: &str) -> Option<u64> {
     let mut fields = line.split_whitespace();
     fields.next()?.parse::<i64>().ok()?;
--- a/benches/load/report.rs
+++ b/benches/load/report.rs
@@ -4,7 +4,7 @@
 use crate::process::Memory;
 use crate::profile::Profile;
 
-/// Prints the name of the phase and the size of the load.
+/// Prints the name of the phase, the heartbeats answered in it and the size of the fleet.
 pub(crate) fn print_phase(phase: &str, heartbeats: u64, size: &FleetSize) {
     let (machines, tasks) = (size.machines, size.running_tasks);
     println!(
@@ -22,7 +22,7 @@
 pub(crate) fn print_profile(profile: &Profile, heartbeats: u64, functions: usize) {
     let total = profile.total_instructions();
     println!(
-        "   {:.1} million instructions, {:.1} thousand a report",
+        "   {:.1} million instructions, {:.1} thousand per heartbeat",
         total as f64 / 1e6,
         total as f64 / 1e3 / heartbeats.max(1) as f64
     );
@@ -31,6 +31,8 @@
     print_functions(profile, functions);
 }
 
+/// Prints two lists of functions: the node's functions with the highest inclusive cost, and those of
+/// all functions with the highest exclusive cost.
 fn print_functions(profile: &Profile, functions: usize) {
     let total = profile.total_instructions().max(1);
     let print = |name: &str, instructions: u64, calls: u64| {
--- a/benches/load/state_service.rs
+++ b/benches/load/state_service.rs
@@ -16,6 +16,7 @@
 #[derive(Default)]
 pub(crate) struct StateService {
     records: Mutex<Records>,
+    /// Wakes the watches after a commit.
     changed: Notify,
 }
 
--- a/benches/load/workers.rs
+++ b/benches/load/workers.rs
@@ -1,5 +1,5 @@
-//! Simulated workers, written from the protocol. Each worker sends heartbeats to one node on a
-//! separate connection.
+//! Simulated workers, written from the protocol. Each worker has its own connection, and sends
+//! heartbeats to one node at a time.
 
 use crate::fleet::Fleet;
 use crate::machine::Machine;
@@ -22,13 +22,13 @@
 
 /// Time for which a worker waits for a response. It is longer than the protocol's 4 s, since a node
 /// under callgrind takes about fifty times as long.
-const REPLY_TIMEOUT: Duration = Duration::from_secs(8);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Number of offsets within the heartbeat interval over which the heartbeats of a fleet are spread.
 const HEARTBEAT_OFFSETS: u64 = 97;
 
 impl Fleet {
-    /// Listens for direct commands to a machine on an unused port.
+    /// Listens on an unused port for direct commands to a machine. Returns the address.
     async fn listen(self: &Arc<Self>, name: &str) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -45,7 +45,7 @@
         Ok(address)
     }
 
-    /// Executes commands that were sent directly to a machine.
+    /// Executes the direct commands to a machine and wakes the waiting workers.
     fn accept_direct_commands(&self, name: &str, direct: &DirectCommands) {
         if let Some(machine) = self.machines().get_mut(name) {
             machine.accept_direct_commands(direct);
@@ -61,7 +61,7 @@
         machine.is_some_and(Machine::take_heartbeat_request)
     }
 
-    /// Runs a worker until its machine is returned.
+    /// Runs a worker until its machine is returned. Ends at once if the worker can't listen.
     pub(crate) async fn run_worker(self: Arc<Self>, name: String, number: u64) {
         let http = HttpClient::with_max_idle_connections(1);
         let Ok(address) = self.listen(&name).await else {
@@ -88,7 +88,7 @@
                     front,
                     "/v1/report",
                     body,
-                    REPLY_TIMEOUT,
+                    RESPONSE_TIMEOUT,
                 )
                 .await;
             if let Ok(response) = &response
@@ -112,7 +112,7 @@
         Some(machine.heartbeat(name, address))
     }
 
-    /// Executes the commands of a response. Returns whether there were any.
+    /// Executes the commands of a response. Returns whether any were executed.
     fn accept_response(&self, name: &str, response: &HttpResponse) -> bool {
         let Ok(heartbeat_response) = decode::<HeartbeatResponse>(&response.body) else {
             return false;
@@ -134,7 +134,8 @@
     }
 
     /// Waits until the next heartbeat is due: the minimum interval after commands or a change in
-    /// the number of tasks, and the usual interval otherwise. Returns the current number of tasks.
+    /// the number of tasks, and the usual interval otherwise. Direct commands with a higher fencing
+    /// token shorten the wait to the minimum interval. Returns the number of tasks before the wait.
     async fn pause(
         &self,
         name: &str,
