--- a/src/autoscaler/arrivals.rs
+++ b/src/autoscaler/arrivals.rs
@@ -53,8 +53,8 @@
         expected
     }
 
-    /// Returns the time span over which the rate of arrivals is measured, at most
-    /// [`ARRIVAL_WINDOW`].
+    /// Returns the time span over which the rate of arrivals is measured: the time since the
+    /// earliest recorded arrival, but at least 1 ms and at most [`ARRIVAL_WINDOW`].
     fn rate_window(&self, now: UnixTime) -> Duration {
         let first = self.arrivals.keys().next();
         let first = first.map_or(now, |(ready_at, _)| *ready_at);
--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -73,8 +73,8 @@
 
     /// Returns a new machine of the offer on which one task of the job costs least, or `None` if no
     /// offer is eligible. `placed` is the number of the job's placed tasks in each zone. With
-    /// `only_zone`, only offers in that zone are considered. Ties are broken by
-    /// comparing the offers.
+    /// `only_zone`, only offers in that zone are considered. Of offers with the same price, the
+    /// first in the order of [`MachineOffer`] is chosen.
     pub(super) fn cheapest_machine(
         &self,
         spec: &JobSpec,
--- a/src/autoscaler/plan.rs
+++ b/src/autoscaler/plan.rs
@@ -22,8 +22,8 @@
 pub struct ScalingPlan {
     /// Number of machines to rent of each offer.
     pub rentals: BTreeMap<MachineOffer, u64>,
-    /// Machines that must not be returned even if they are idle, because waiting tasks are
-    /// planned on them.
+    /// Machines that must not be returned even if they are idle, because waiting or expected jobs
+    /// are planned on them.
     pub machines_to_keep: BTreeSet<MachineId>,
 }
 
--- a/src/autoscaler/startup.rs
+++ b/src/autoscaler/startup.rs
@@ -64,7 +64,7 @@
     }
 
     /// Reports whether a job of the class that waits for this startup misses the class's wait
-    /// objective.
+    /// objective. Objectives without a class are not considered.
     pub(super) fn exceeds_wait_objective(
         self,
         class: &str,
--- a/src/autoscaler/trial.rs
+++ b/src/autoscaler/trial.rs
@@ -13,15 +13,15 @@
 
 /// Simulated placement of a job's waiting tasks.
 pub(super) struct TrialPlacement {
-    /// Tasks on existing machines.
+    /// Tasks on machines of the snapshots.
     assignments: Vec<Assignment>,
     new_machines: Vec<NewMachine>,
 }
 
 impl TrialPlacement {
-    /// Simulates the placement of as many of the waiting tasks as fit, on existing machines first
-    /// and then on new machines of the catalog. With `only_zone`, only machines in that zone are
-    /// used.
+    /// Simulates the placement of as many of the waiting tasks as fit, first on the machines of the
+    /// snapshots, which may include machines to rent for earlier jobs, and then on new machines of
+    /// the catalog. With `only_zone`, only machines in that zone are used.
     pub(super) fn new(
         waiting: &WaitingJob<'_>,
         snapshots: &[MachineSnapshot],
@@ -67,7 +67,7 @@
             .sum()
     }
 
-    /// Returns the indices of the existing machines that take tasks.
+    /// Returns the indices of the snapshots whose machines take tasks.
     pub(super) fn used_machine_indices(&self) -> impl Iterator<Item = usize> + '_ {
         self.assignments
             .iter()
--- a/src/placement/candidate.rs
+++ b/src/placement/candidate.rs
@@ -12,8 +12,8 @@
     pub id: &'a JobId,
     /// The job with its specification and the state of its tasks.
     pub job: &'a Job,
-    /// Whether the job's request, added to those of its team's earlier open jobs, fits in the
-    /// team's guarantee.
+    /// Whether the total request of the job and of its team's earlier open jobs fits in the team's
+    /// guarantee.
     pub within_guarantee: bool,
     /// Whether the job has waited so long that it is served before all jobs that are not starving.
     /// Machines are reserved for a starving gang that does not fit.
@@ -71,8 +71,8 @@
 }
 
 /// Returns the minimum of available resources that a machine needs to affect a round. No
-/// candidate's task fits on a machine with less. If machines may be reserved for a gang, the
-/// minimum is zero, because full machines can be reserved as well.
+/// candidate's task fits on a machine with less of any resource. If machines may be reserved for a
+/// gang, the minimum is zero, because full machines can be reserved as well.
 pub fn min_available(candidates: &[Candidate<'_>]) -> Resources {
     if candidates.iter().any(Candidate::can_reserve_machines) {
         return Resources::default();
--- a/src/placement/packing.rs
+++ b/src/placement/packing.rs
@@ -32,8 +32,9 @@
     /// Availability of the job's image. Compared before fullness, because a fetch takes longer than
     /// many objectives allow, and concurrent fetches on one machine share its fetch rate.
     image_readiness: ImageReadiness,
-    /// Whether the task would put services and batch tasks on one machine. They are kept apart,
-    /// because otherwise services keep many machines half empty after the batch tasks have ended.
+    /// Whether a batch task would go to a machine with services, or a replica to a machine without.
+    /// The two are kept apart, because otherwise services keep many machines half empty after the
+    /// batch tasks have ended.
     mixes_services: bool,
     /// Use of the machine with one more task of the job, in thousandths. The fullest machine is
     /// best.
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -12,8 +12,8 @@
 use crate::wire::user::JobKind;
 
 /// Plans a round within `limits` for candidates, which must be sorted in the order of service.
-/// Afterwards, `snapshots` and `quotas` reflect the planned starts, and the snapshots are
-/// reordered.
+/// Afterwards, `snapshots` and `quotas` reflect the planned starts, nothing is available on
+/// reserved machines, and the snapshots are reordered.
 pub fn plan_round(
     candidates: &[Candidate<'_>],
     snapshots: &mut Vec<MachineSnapshot>,
@@ -36,7 +36,8 @@
 }
 
 /// Moves the machines that have room for the smallest request to the front and returns their
-/// number. The planner then skips the other machines, most of a busy cluster, for each job.
+/// number. For each job, the planner then skips the other machines, which are most machines of a
+/// busy cluster.
 fn move_machines_with_room_first(
     snapshots: &mut Vec<MachineSnapshot>,
     candidates: &[Candidate<'_>],
--- a/src/placement/quota.rs
+++ b/src/placement/quota.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Resources that each team uses, and each team's limit. A team without an entry for its limit may
-/// use nothing.
+/// Resources that each team uses, and each team's limit. A team whose limit was not set may use
+/// nothing.
 #[derive(Debug, Clone, Default)]
 pub struct QuotaUsage {
     used: BTreeMap<Arc<str>, Resources>,
