--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -33,8 +33,9 @@
 
     /// Looks up a job by a fresh read, or in the cache if its final state is cached.
     ///
-    /// The live record is read before the final record. One transaction replaces the live record by
-    /// the final record, so a job that has neither had not been accepted before the first read.
+    /// The live record is read before the final record. A live record is deleted in the transaction
+    /// that writes the final record or, after a cancellation, in a later one. A job for which
+    /// neither record is found had therefore not been accepted before the first read.
     ///
     /// # Errors
     ///
--- a/src/api/submissions.rs
+++ b/src/api/submissions.rs
@@ -124,8 +124,8 @@
     /// Returns the reason to reject a job because of its dependencies, if there is one: the job
     /// depends on itself, or on a job that was never accepted.
     ///
-    /// An accepted job stays accepted, so dependencies that the engine knows need no fresh read from
-    /// the state service.
+    /// An accepted job stays accepted, so dependencies that the engine knows need no fresh read
+    /// from the state service.
     async fn find_rejected_dependency(
         &self,
         submission: &JobSubmission,
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -221,8 +221,8 @@
 /// to be replaced within a few seconds, and long enough for several renewals, each of which may
 /// take a few hundred milliseconds.
 pub const LEASE_TTL: Duration = Duration::from_millis(4000);
-/// Time between two renewals of the leader's lease. After a failed renewal, three more are due
-/// before the lease expires.
+/// Time between two renewals of the leader's lease. Three renewals are due before a lease that was
+/// just renewed expires.
 pub const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
 /// Time for which a leader that stepped down because it received no heartbeats does not campaign
 /// again, so that another node is elected.
@@ -288,8 +288,8 @@
 /// term, and terms up to 2^44.
 pub const ROUND_BITS: u32 = 20;
 /// Time between a round's transaction that got no response and the search for orphaned records of
-/// that transaction. After a minute, the transaction is rarely still carried out; records that are
-/// written even later are found by the next leader.
+/// that transaction. After a minute, the state service rarely still applies the transaction;
+/// records that are written even later are found by the next leader.
 pub const ORPHANED_ROUND_SEARCH_DELAY: Duration = Duration::from_millis(60_000);
 /// Time for which a job is left out of rounds after the write of a round has found the job's record
 /// changed. The watch usually reports the change within some milliseconds, and after a second at
@@ -346,8 +346,8 @@
 /// Time for which a worker waits for the response to its heartbeat, as defined by the protocol.
 pub const WORKER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// Maximum time for which the response to a heartbeat is held back until a round is written. A
-/// commit usually takes about 10 ms and occasionally a few hundred milliseconds; a worker waits 4
-/// s.
+/// commit usually takes about 10 ms and occasionally a few hundred milliseconds; a worker waits for
+/// 4 s.
 pub const HEARTBEAT_HOLD_TIMEOUT: Duration = Duration::from_millis(400);
 /// Number of bits of a fencing token below the leader's term. This part is incremented at most
 /// twice per worker lease, so it lasts longer than any process runs.
@@ -413,9 +413,9 @@
 /// a new leader starts to rent machines. The resources of so few machines matter little, and the
 /// number of dead machines is usually lower.
 pub const UNHEARD_MACHINES_DIVISOR: usize = 4;
-/// Maximum number of job arrivals that are remembered, at about a hundred bytes each. A burst at
-/// 700 machines brings 600 arrivals within [`ARRIVAL_WINDOW`]. The oldest arrivals are removed
-/// first, and the rate is then calculated over the time that the others span.
+/// Maximum number of job arrivals that are remembered, at a few hundred bytes each. A burst at 700
+/// machines brings 600 arrivals within [`ARRIVAL_WINDOW`]. The oldest arrivals are removed first,
+/// and the rate is then calculated over the time that the others span.
 pub const MAX_ARRIVALS: usize = MAX_EXPECTED_MACHINES;
 /// Time over which the arrival rate is calculated: long enough for a few arrivals of each class,
 /// and short enough to follow a burst.
--- a/src/engine/autoscaling/consolidation.rs
+++ b/src/engine/autoscaling/consolidation.rs
@@ -65,8 +65,8 @@
         )
     }
 
-    /// Returns the machine with the specifications of its replicas, or `None` unless every task on the
-    /// machine is a replica that has run for [`constants::MIN_RUN_BEFORE_PREEMPTION`].
+    /// Returns the machine with the specifications of its replicas, or `None` unless every task on
+    /// the machine is a replica that has run for [`constants::MIN_RUN_BEFORE_PREEMPTION`].
     fn as_drainable(&self, machine: &Machine) -> Option<Drainable<'_>> {
         let replicas = machine
             .tasks
@@ -78,8 +78,8 @@
         })
     }
 
-    /// Returns the specification of the service that the task is a replica of, or `None` if the task
-    /// is no replica or has not run for [`constants::MIN_RUN_BEFORE_PREEMPTION`].
+    /// Returns the specification of the service that the task is a replica of, or `None` if the
+    /// task is no replica or has not run for [`constants::MIN_RUN_BEFORE_PREEMPTION`].
     fn long_running_replica(&self, task: &TaskId) -> Option<&JobSpec> {
         let job = self.jobs.get(&task.job).filter(|job| job.is_open())?;
         let placement = job.placements.get(&task.index)?;
@@ -87,8 +87,8 @@
         (is_replica && self.has_run_for_minimum_time(placement)).then_some(&job.spec)
     }
 
-    /// Reports whether the task has run for [`constants::MIN_RUN_BEFORE_PREEMPTION`] and its stop has
-    /// not been requested.
+    /// Reports whether the task has run for [`constants::MIN_RUN_BEFORE_PREEMPTION`] and its stop
+    /// has not been requested.
     fn has_run_for_minimum_time(&self, placement: &Placement) -> bool {
         let running = PlacementStage::Reported(TaskState::Running);
         let movable_from = placement.stage_since + constants::MIN_RUN_BEFORE_PREEMPTION;
--- a/src/engine/autoscaling/housekeeping.rs
+++ b/src/engine/autoscaling/housekeeping.rs
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Reports whether most machines that are up have fallen silent together. The cause is then more
-    /// likely a fault of this node or its network than of the machines, and another node may be on
-    /// the machines' side of a network partition.
+    /// Reports whether most machines that are up have fallen silent together. The cause is then
+    /// more likely a fault of this node or its network than of the machines, and another node may
+    /// be on the machines' side of a network partition.
     fn has_lost_contact_with_workers(&self) -> bool {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader() else {
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Stops each task on a machine that will be preempted, once the remaining time is just enough to
-    /// write a checkpoint.
+    /// Stops each task on a machine that will be preempted, once the remaining time is just enough
+    /// to write a checkpoint.
     fn stop_preempted_tasks(&mut self, preempted: Vec<PreemptedTask>) {
         for PreemptedTask { task, time_left } in preempted {
             let Some(job) = self.jobs.get(&task.job) else {
--- a/src/engine/autoscaling/machine_list.rs
+++ b/src/engine/autoscaling/machine_list.rs
@@ -30,8 +30,8 @@
         self.complete
     }
 
-    /// Returns the call that reads the next page, if that read is due, and records that the read has
-    /// begun.
+    /// Returns the call that reads the next page, if that read is due, and records that the read
+    /// has begun.
     fn next_call(&mut self, now: Timestamp) -> Option<CloudCall> {
         if !self.retry.is_due(now) {
             return None;
@@ -47,8 +47,8 @@
         self.retry.record_failure(context);
     }
 
-    /// Records that a page was read. Returns false if the list is abandoned; it is read again from the
-    /// start after [`constants::MACHINE_LIST_INTERVAL`], a few seconds.
+    /// Records that a page was read. Returns false if the list is abandoned; it is read again from
+    /// the start after [`constants::MACHINE_LIST_INTERVAL`], a few seconds.
     fn on_page_read(&mut self, page: &MachinePage, now: Timestamp) -> bool {
         if !self.is_valid_continuation(page) {
             tracing::error!(
@@ -63,7 +63,8 @@
         }
         let last = page.machines.last().filter(|_| page.has_more);
         self.cursor = last.map(|machine| machine.id.clone());
-        // A single page does not show all rented machines, so the next page is read without a pause.
+        // A single page does not show all rented machines, so the next page is read without a
+        // pause.
         let pause = match self.cursor {
             Some(_) => {
                 self.pages += 1;
--- a/src/engine/autoscaling/mod.rs
+++ b/src/engine/autoscaling/mod.rs
@@ -34,7 +34,7 @@
 /// The autoscaling state of a leader.
 #[derive(Debug)]
 pub(super) struct Autoscaling {
-    /// Tasks for which the last scheduling pass found no resources, by job in scheduling order.
+    /// Tasks that the last scheduling pass left unplaced, by job in the order of service.
     demand: Vec<UnplacedTasks>,
     refusals: RefusedOffers,
     /// Number of rental requests made in this term. The term and this number together identify a
@@ -50,10 +50,11 @@
     returns: Retry,
     next_housekeeping_at: Timestamp,
     next_consolidation_at: Timestamp,
-    /// Jobs for which tasks were preempted recently or no victims were found, each with the time until
-    /// which no victims are searched for.
+    /// Jobs for which tasks were preempted recently or no victims were found, each with the time
+    /// until which no victims are searched for.
     preemption_pauses: BTreeMap<JobId, Timestamp>,
-    /// Idle machines that are kept for expected jobs.
+    /// Machines that are not returned when idle, because waiting or expected jobs are planned on
+    /// them.
     reserved: BTreeSet<MachineId>,
     /// Time at which each zone was last found to be cut off from this node.
     cut_off_zones: BTreeMap<Arc<str>, Timestamp>,
@@ -84,8 +85,8 @@
         !self.demand.is_empty()
     }
 
-    /// Returns the candidates with unplaced tasks, in scheduling order, each with these tasks in the
-    /// form that rental planning takes.
+    /// Returns the candidates with unplaced tasks, in the order of service, each with these tasks
+    /// in the form that rental planning takes.
     fn unplaced_jobs<'a>(
         &'a self,
         candidates: &'a [Candidate<'a>],
@@ -104,8 +105,8 @@
 
     /// Sets the demand to the tasks that a scheduling pass has left unplaced.
     fn set_demand(&mut self, unplaced: Vec<UnplacedTasks>, now: Timestamp) {
-        // When demand first appears, a rental pass is due immediately instead of at the next regular
-        // time.
+        // When demand first appears, a rental pass is due immediately instead of at the next
+        // regular time.
         if self.demand.is_empty() && !unplaced.is_empty() {
             self.next_rental_pass_at = now;
         }
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Requests the next page of the cloud's machine list and runs a rental pass, each if it is due.
+    /// Requests the next page of the cloud's machine list and runs a rental pass, each if it is
+    /// due. Does nothing without a valid lease.
     pub(super) fn autoscale_when_due(&mut self) {
         if !self.holds_valid_lease() {
             return;
@@ -141,17 +143,18 @@
             return false;
         };
         let autoscaling = &leader.autoscaling;
-        // Until the cloud's list has been read once, it is unknown which machines are rented already,
-        // and renting for the demand could rent them a second time. This check runs at every step;
-        // the condition that iterates over all machines is evaluated last.
+        // Until the cloud's list has been read once, it is unknown which machines are rented
+        // already, and renting for the demand could rent them a second time. This check runs at
+        // every step; the condition that iterates over all machines is evaluated last.
         autoscaling.rentals_in_flight == 0
             && autoscaling.listing.is_complete()
             && now >= autoscaling.next_rental_pass_at
             && !self.awaits_first_heartbeats()
     }
 
-    /// Compares the demand with the fleet: preempts tasks for a job that cannot get rented machines,
-    /// and rents machines for the other jobs.
+    /// Compares the demand with the fleet: preempts tasks for at most one job that cannot get
+    /// rented machines, and rents machines for waiting and expected jobs, except from offers that
+    /// the cloud has recently refused.
     fn run_rental_pass(&mut self) {
         let now = self.context.now();
         if let Some(leader) = self.leadership.leader_mut() {
@@ -171,8 +174,9 @@
         self.scale_out(scaling.rentals);
     }
 
-    /// Reports whether a machine is expected to finish booting soon. A machine that has been rented for
-    /// more than twice its type's boot time is overdue and does not count.
+    /// Reports whether a machine that the cloud has confirmed is expected to finish booting soon. A
+    /// machine that was rented more than twice its type's boot time ago is overdue and does not
+    /// count.
     fn is_booting_on_time(&self, machine: &Machine) -> bool {
         let machine_type = self.machine_types.get(&machine.machine_type);
         let boot_time = machine_type.map_or(Duration::ZERO, |machine_type| machine_type.boot_time);
--- a/src/engine/autoscaling/preemption.rs
+++ b/src/engine/autoscaling/preemption.rs
@@ -15,18 +15,18 @@
 /// The result of one search for victims over the waiting jobs.
 #[derive(Default)]
 pub(super) struct PreemptionPlan {
-    /// The first job for which tasks can be stopped.
+    /// The tasks to stop for the first job for which victims were found.
     pub(super) preemption: Option<Preemption>,
     /// The jobs searched before it for which no victims were found.
     pub(super) without_victims: Vec<JobId>,
 }
 
 impl Engine {
-    /// Chooses the tasks to stop for the first waiting job that cannot get rented machines: the cloud
-    /// has recently refused offers, and the machines that accept tasks now or soon have no resources
-    /// left for the job. The plan also lists the jobs for which no victims were found. A pass stops
-    /// after [`constants::MAX_PREEMPTION_SEARCHES`] of them, because each search iterates over all
-    /// running tasks.
+    /// Chooses the tasks to stop for the first waiting job that cannot get rented machines: the
+    /// cloud has recently refused offers, and the machines that accept tasks now or soon have no
+    /// resources left for the job. The plan also lists the jobs for which no victims were found. A
+    /// pass stops after [`constants::MAX_PREEMPTION_SEARCHES`] of them, because each search
+    /// iterates over all running tasks.
     pub(super) fn plan_preemption(&self, candidates: &[Candidate<'_>]) -> PreemptionPlan {
         let now = self.context.now();
         let mut plan = PreemptionPlan::default();
@@ -49,8 +49,8 @@
             now,
         );
         for (candidate, waiting) in leader.autoscaling.unplaced_jobs(candidates) {
-            // Resources that are available now or soon are allocated to the waiting jobs in order, so
-            // later jobs see only the remainder.
+            // Resources that are available now or soon are allocated to the waiting jobs in order,
+            // so later jobs see only the remainder.
             let has_resources = autoscaler::try_allocate(&waiting, &mut available_soon);
             if has_resources || !self.may_preempt_for(candidate) {
                 continue;
@@ -72,8 +72,8 @@
         plan
     }
 
-    /// Reports whether the job has waited for [`constants::PREEMPTION_DELAY`] and preemption for it is
-    /// not paused.
+    /// Reports whether this node has known the job for [`constants::PREEMPTION_DELAY`] and
+    /// preemption for the job is not paused.
     fn may_preempt_for(&self, candidate: &Candidate<'_>) -> bool {
         let now = self.context.now();
         let paused = self.leadership.leader().is_some_and(|leader| {
@@ -84,7 +84,8 @@
         !paused && waited >= constants::PREEMPTION_DELAY
     }
 
-    /// Pauses the search for jobs for which no victims were found, and removes pauses that have ended.
+    /// Pauses the search for jobs for which no victims were found, and removes pauses that have
+    /// ended.
     pub(super) fn pause_preemption(&mut self, without_victims: Vec<JobId>) {
         let now = self.context.now();
         let Some(leader) = self.leadership.leader_mut() else {
@@ -111,8 +112,8 @@
     }
 }
 
-/// Returns for how many of a job's unplaced tasks victims are chosen in one pass: for all tasks of a
-/// gang, which start together, and for one task of any other job.
+/// Returns for how many of a job's unplaced tasks victims are chosen in one pass: for all tasks of
+/// a gang, which start together, and for one task of any other job.
 fn tasks_to_preempt_for(candidate: &Candidate<'_>, unplaced_tasks: u32) -> u32 {
     match candidate.job.is_gang() {
         true => unplaced_tasks,
--- a/src/engine/autoscaling/refusals.rs
+++ b/src/engine/autoscaling/refusals.rs
@@ -33,8 +33,8 @@
             .collect()
     }
 
-    /// Records that the cloud had no capacity for the offer, which is then not requested for a pause
-    /// that doubles with each consecutive refusal. Returns the pause.
+    /// Records that the cloud had no capacity for the offer, which is then not requested for a
+    /// pause that doubles with each consecutive refusal. Returns the pause.
     pub(super) fn record(&mut self, offer: MachineOffer, now: Timestamp) -> Duration {
         let last = self.refusals.get(&offer);
         let last_pause = last.map_or(Duration::ZERO, |refusal| refusal.pause);
--- a/src/engine/autoscaling/return_reason.rs
+++ b/src/engine/autoscaling/return_reason.rs
@@ -13,8 +13,8 @@
 pub(super) enum ReturnReason {
     /// The machine sends no heartbeats or does not receive responses to them.
     Silent,
-    /// The machine is known only from a heartbeat, which may be a delayed duplicate from a machine that
-    /// no longer exists.
+    /// The machine is known only from a heartbeat, which may be a delayed duplicate from a machine
+    /// that no longer exists.
     NeverAnswered,
     /// The machine did not boot in time.
     NeverCameUp,
@@ -44,8 +44,8 @@
 }
 
 impl Autoscaling {
-    /// Returns the time at which a zone was last found to be cut off, or the clock's zero if it never
-    /// was.
+    /// Returns the time at which a zone was last found to be cut off, or the clock's zero if it
+    /// never was.
     fn last_cut_off(&self, zone: &str) -> Timestamp {
         self.cut_off_zones.get(zone).copied().unwrap_or_default()
     }
@@ -87,14 +87,14 @@
         }
     }
 
-    /// Reports whether, for longer than the timeout, no heartbeat has proved that the machine is alive
-    /// and receives responses.
+    /// Reports whether, for longer than the timeout, no heartbeat has proved that the machine is
+    /// alive and receives responses.
     fn is_silent(&self, leader: &Leader, machine: &Machine) -> bool {
         let now = self.context.now();
         let timing = self.context.timing();
         // The machines of a zone that is cut off from this node keep working while a node in that
-        // zone responds in the leader's place. Their silence counts from the end of the partition, or
-        // from the end of the longest time for which a node may respond in the leader's place,
+        // zone responds in the leader's place. Their silence counts from the end of the partition,
+        // or from the end of the longest time for which a node may respond in the leader's place,
         // whichever is earlier.
         let cut_off_at = leader.autoscaling.last_cut_off(&machine.zone);
         let grace_ends_at = cut_off_at.min(machine.last_confirmed_at + timing.leader_grace);
@@ -129,8 +129,9 @@
         notice_expired && unconfirmed_for > self.context.timing().heartbeat_interval
     }
 
-    /// Reports whether a machine has been idle for longer than the operators' limit, is not kept for
-    /// expected jobs, and has been rented for longer than the cloud's minimum charged time.
+    /// Reports whether a machine has been idle for longer than the operators' limit, is not kept
+    /// for waiting or expected jobs, and has been rented for longer than the cloud's minimum
+    /// charged time.
     fn is_surplus(&self, leader: &Leader, machine: &Machine, now: Timestamp) -> bool {
         let idle_s = self.context.settings().operator.idle_s;
         let idle_limit = Duration::from_millis((idle_s * 1000.0) as u64);
--- a/src/engine/autoscaling/scale_in.rs
+++ b/src/engine/autoscaling/scale_in.rs
@@ -1,5 +1,5 @@
-//! Scaling in: returns machines to the cloud, and takes the cloud's response as proof that their tasks
-//! are gone.
+//! Scaling in: returns machines to the cloud, and takes the cloud's response as proof that their
+//! tasks are gone.
 
 use super::MachineOffer;
 use crate::cloud::{CloudCall, CloudError, CloudReply};
@@ -9,9 +9,9 @@
 use crate::model::{Machine, MachineId, MachinePhase};
 
 impl Engine {
-    /// Requests the return of the machines that are marked as returning. The machines and everything
-    /// on them are gone only once the cloud confirms the return; until then their tasks count as
-    /// running.
+    /// Requests the return of the machines that are marked as returning. The machines and
+    /// everything on them are gone only once the cloud confirms the return; until then their tasks
+    /// count as running.
     pub(super) fn scale_in(&mut self) {
         let lease_valid = self.holds_valid_lease();
         let now = self.context.now();
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Handles the outcome of a return call. After a success the machines are removed and their tasks
-    /// are handled as lost.
+    /// Handles the outcome of a return call. After a success the machines are removed and their
+    /// tasks are handled as lost.
     pub(in crate::engine) fn on_machines_returned(
         &mut self,
         machines: Vec<MachineId>,
--- a/src/engine/autoscaling/scale_out.rs
+++ b/src/engine/autoscaling/scale_out.rs
@@ -20,13 +20,13 @@
 
 impl Engine {
     /// Reports whether the leader was elected recently and still waits for the first heartbeats of
-    /// many machines that should be up. What is available on these machines is not known, so a leader
-    /// that rented immediately could rent a second fleet. The leader does not wait for the last few
-    /// machines, because they may have failed.
+    /// many machines that should be up. What is available on these machines is not known, so a
+    /// leader that rented immediately could rent a second fleet. The leader does not wait for the
+    /// last few machines, because they may have failed.
     ///
     /// This check runs at every step and iterates over all machines. While its result is true, the
-    /// result is reused for [`constants::SCHEDULING_INTERVAL`], the shortest time between scheduling
-    /// passes.
+    /// result is reused for [`constants::SCHEDULING_INTERVAL`], the shortest time between
+    /// scheduling passes.
     pub(super) fn awaits_first_heartbeats(&mut self) -> bool {
         let now = self.context.now();
         let two_heartbeats = 2 * self.context.timing().heartbeat_interval;
@@ -47,8 +47,8 @@
         is_waiting
     }
 
-    /// Reports whether more than one in [`constants::UNHEARD_MACHINES_DIVISOR`] of the machines that
-    /// should be up have not sent a heartbeat yet.
+    /// Reports whether more than one in [`constants::UNHEARD_MACHINES_DIVISOR`] of the machines
+    /// that should be up have not sent a heartbeat yet.
     fn is_missing_first_heartbeats(&self) -> bool {
         let Some(leader) = self.leadership.leader() else {
             return false;
@@ -66,7 +66,8 @@
         without_heartbeat * constants::UNHEARD_MACHINES_DIVISOR > up + without_heartbeat
     }
 
-    /// Returns the machines to rent and the idle machines to keep, for waiting and for expected jobs.
+    /// Returns the machines to rent and the idle machines to keep, for waiting and for expected
+    /// jobs.
     pub(super) fn scaling_plan(&self, candidates: &[Candidate<'_>]) -> ScalingPlan {
         let leader = self.leadership.leader();
         let (Some(leader), Some(types)) = (leader, self.machine_types.types()) else {
@@ -221,8 +222,8 @@
     leader.scheduling.request();
 }
 
-/// Splits the machines to rent into calls of at most [`constants::MAX_MACHINES_PER_RENTAL`]: one call
-/// for each offer, then a second call for each offer with machines left, and so on.
+/// Splits the machines to rent into calls of at most [`constants::MAX_MACHINES_PER_RENTAL`]: one
+/// call for each offer, then a second call for each offer with machines left, and so on.
 fn rental_calls(rent: BTreeMap<MachineOffer, u64>) -> Vec<RentalCall> {
     let mut calls = Vec::new();
     let mut remaining: Vec<(MachineOffer, u64)> = rent.into_iter().collect();
--- a/src/engine/scheduling.rs
+++ b/src/engine/scheduling.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Runs a scheduling pass if one is due because something has changed that may allow a
-    /// placement. Does not run it without a valid lease, or while a round that takes a single
-    /// transaction is being written.
+    /// Retries writes of rounds, and runs a scheduling pass if one is due because something has
+    /// changed that may allow a placement. Does not run the pass without a valid lease, or while a
+    /// round that takes a single transaction is being written.
     pub(super) fn schedule_when_due(&mut self) {
         self.retry_round_writes();
         let now = self.context.now();
@@ -31,9 +31,8 @@
         self.set_demand(plan.unplaced);
     }
 
-    /// Reports whether a round will be planned as soon as possible, which is the case if a
-    /// scheduling pass has been requested, the last pass left tasks unplaced, and this node holds a
-    /// valid lease.
+    /// Reports whether a round with starts is likely soon: a scheduling pass has been requested,
+    /// the last pass left tasks unplaced, and this node holds a valid lease.
     pub(super) fn is_scheduling_imminent(&self) -> bool {
         let leader = self.leadership.leader();
         self.holds_valid_lease()
@@ -139,7 +138,8 @@
     }
 
     /// Returns the number of the job's placed tasks in each zone, or `None` if a task's machine is
-    /// unknown, or if its zone is not known yet and the job has a rule about zones.
+    /// unknown, or if the machine's zone is not known yet and the job must be in a single zone or
+    /// spread over zones.
     fn placed_tasks_by_zone(&self, job: &Job) -> Option<BTreeMap<Arc<str>, u32>> {
         let leader = self.leadership.leader()?;
         let mut tasks_by_zone = BTreeMap::new();
@@ -153,8 +153,8 @@
         Some(tasks_by_zone)
     }
 
-    /// Returns the open jobs whose requests, added to those of their team's earlier open jobs, fit
-    /// in the team's guarantee.
+    /// Returns the open jobs whose total request, added to those of their team's earlier open jobs,
+    /// fits in the team's guarantee. A team without a guarantee has no such jobs.
     pub(super) fn jobs_within_guarantee(&self) -> BTreeSet<JobId> {
         let mut open_jobs: Vec<_> = self.jobs.iter().filter(|(_, job)| job.is_open()).collect();
         open_jobs.sort_by_key(|(id, job)| (job.submitted_at, *id));
