--- a/src/constants.rs
+++ b/src/constants.rs
@@ -103,7 +103,8 @@
 /// a list. Responses to users' reads contain one record each.
 pub const MAX_CONCURRENT_LARGE_RESPONSES: usize = 2;
 /// Maximum size of a page of a list, in bytes, as defined by the protocol. The memory for large
-/// responses is calculated with this size.
+/// responses is calculated with this size. The response to a watch may be larger, up to
+/// [`MAX_RESPONSE_BYTES`].
 pub const MAX_LIST_PAGE_BYTES: usize = 512 * 1024;
 
 // Machine limits in the settings
@@ -129,9 +130,9 @@
 
 /// Maximum number of characters of an unexpected response's body that are shown in the error.
 pub const MAX_ERROR_BODY_CHARS: usize = 100;
-/// Maximum size of a response of the state service or the cloud, in bytes. Lists reach 512 KiB. The
-/// protocol does not limit watch responses; if a response is larger than this, the changes are read
-/// again in pages. A decoded response takes several times as much memory.
+/// Maximum size of the body of a response, in bytes. Lists of the state service and the cloud reach
+/// 512 KiB. The protocol does not limit watch responses; if a response is larger than this, the
+/// changes are read again in pages. A decoded response takes several times as much memory.
 pub const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 /// Timeout for establishing a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -191,7 +191,7 @@
     }
 
     /// Allocates the resources of the assignments and returns the starts of the job's tasks on the
-    /// assigned machines. Task numbers are taken from `indices`.
+    /// assigned machines. The tasks' indices are taken from `indices`.
     fn allocate(
         &mut self,
         id: &JobId,
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -60,7 +60,7 @@
 }
 
 /// Returns the tasks of open jobs that may be stopped for other jobs, in the order of `jobs` and of
-/// the tasks' numbers.
+/// the tasks' indices.
 pub fn preemptible_tasks<'a>(
     jobs: impl Iterator<Item = (&'a JobId, &'a Job)>,
     is_within_guarantee: impl Fn(&JobId) -> bool,
