--- a/src/engine/tests/job_lifecycle.rs
+++ b/src/engine/tests/job_lifecycle.rs
@@ -16,11 +16,11 @@
     assert_eq!(cluster.running_tasks("run-3"), 1);
     cluster.cancel("run-3");
     assert!(
-        cluster.run_until(2_000, |w| w.running_tasks("run-3") == 0),
-        "stopped at once"
+        cluster.run_until(2_000, |cluster| cluster.running_tasks("run-3") == 0),
+        "the service stops at once"
     );
     assert!(
-        cluster.run_until(150_000, |w| w.workers.is_empty()),
+        cluster.run_until(150_000, |cluster| cluster.workers.is_empty()),
         "idle machines are returned"
     );
     assert_eq!(cluster.final_state("run-3"), Some(JobState::Cancelled));
@@ -40,19 +40,21 @@
     }
 }
 
-/// Guards against starts that wait for the machine's next heartbeat, half an interval on average.
+/// Guards against durable starts that wait for the machine's next heartbeat, which takes half an
+/// interval on average.
 #[test]
 fn durable_start_is_delivered_without_waiting_for_a_heartbeat() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     for number in 2..7 {
-        // At various times within a heartbeat interval, and less often than early heartbeats are sent.
+        // The submissions are spread over a heartbeat interval, and are less frequent than early
+        // heartbeats.
         cluster.run(9_000 + 500 * number);
         let id = format!("run-{number}");
         cluster.submit(short_job(&id, JobKind::Service, 1));
-        let before = cluster.starts;
+        let starts_before = cluster.starts;
         assert!(
-            cluster.run_until(800, |w| w.starts > before),
+            cluster.run_until(800, |cluster| cluster.starts > starts_before),
             "{id} is not started after 0.8 s"
         );
         cluster.cancel(&id);
@@ -60,8 +62,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against machines that boot while a round is planned for others, and lose a heartbeat
-/// interval before they get tasks.
+/// Guards against machines that boot while a round is planned for others and that therefore wait
+/// for a heartbeat interval before they get tasks.
 #[test]
 fn machines_that_boot_together_all_get_tasks_at_once() {
     let mut cluster = SimulatedCluster::new(3, 40.0);
@@ -70,15 +72,15 @@
         let job = lasting_job(&format!("run-{number}"), JobKind::Array, 4, 300.0);
         cluster.submit(job);
     }
-    assert!(cluster.run_until(60_000, |w| w.starts > 0));
-    // Machines are rented for the first at once, for the others a second later: less than a
-    // heartbeat interval.
+    assert!(cluster.run_until(60_000, |cluster| cluster.starts > 0));
+    // Machines are rented at once for the first job and a second later for the others, which is
+    // less than a heartbeat interval.
     cluster.run(2_000);
     assert_eq!((cluster.workers.len(), cluster.starts), (10, 40));
 }
 
-/// A node that has not reached the cloud since its start knows no machine types: it becomes ready
-/// all the same, so that status queries are answered.
+/// A node that has not reached the cloud since its start has no machine types. It must become ready
+/// nevertheless, so that status queries are answered.
 #[test]
 fn nodes_become_ready_without_machine_types() {
     let mut cluster = SimulatedCluster::new(3, 8.0);
@@ -93,7 +95,8 @@
     assert_completes(&mut cluster, "run-1", 60_000);
 }
 
-/// A gang needs more starts than one record holds.
+/// A gang that needs more starts than one record holds must start each task once, also if commit
+/// replies are lost and the leader crashes.
 #[test]
 fn starts_of_a_large_gang_span_several_records() {
     for lose_every in [0, 2] {
@@ -102,12 +105,12 @@
         cluster.run(2_000);
         cluster.submit(gang);
         cluster.faults.lose_commit_reply_every = lose_every;
-        assert!(cluster.run_until(60_000, |w| w.count_keys("rounds/") > 2));
+        assert!(cluster.run_until(60_000, |cluster| cluster.count_keys("rounds/") > 2));
         assert_eq!(cluster.term(), 1);
         cluster.crash_leader();
         assert_completes(&mut cluster, "run-1", 180_000);
         assert_eq!(cluster.starts, 300);
         cluster.faults.lose_commit_reply_every = 0;
-        assert!(cluster.run_until(10_000, |w| w.count_keys("rounds/") == 0));
+        assert!(cluster.run_until(10_000, |cluster| cluster.count_keys("rounds/") == 0));
     }
 }
--- a/src/engine/tests/large_fleet.rs
+++ b/src/engine/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of full size.
+//! Scenarios with large fleets.
 
 use super::simulated_cluster::{SimulatedCluster, UNLIMITED_GPUS};
 use super::support::{lasting_job, short_job};
@@ -7,8 +7,9 @@
 use crate::wire::worker::Heartbeat;
 use std::time::Duration;
 
-/// A fleet with four tasks on each machine: services first, then arrays that run long.
-pub(crate) fn fleet(machines: usize) -> SimulatedCluster {
+/// Returns a cluster in which `machines` machines run four tasks each, of production services and
+/// of arrays whose tasks run for 3,000 s.
+pub(crate) fn full_fleet(machines: usize) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(3, UNLIMITED_GPUS);
     cluster.page_items = constants::STORE_LIST_PAGE_ITEMS as usize;
     cluster.run(2_000);
@@ -21,7 +22,8 @@
         cluster.submit(array);
     }
     assert!(
-        cluster.run_until(120_000, |w| w.all_running_tasks() as u64 == tasks),
+        cluster.run_until(120_000, |cluster| cluster.all_running_tasks() as u64
+            == tasks),
         "{} of {tasks} tasks run",
         cluster.all_running_tasks()
     );
@@ -29,13 +31,13 @@
     cluster
 }
 
-/// Figures for `docs/measurements.md`; `cargo test --release -- --ignored --nocapture` prints
-/// them.
+/// Prints figures for `docs/measurements.md`. Run with `cargo test --release -- --ignored
+/// --nocapture`.
 #[test]
 #[ignore = "measures, decides nothing"]
 fn measure_engine_time() {
     for machines in [240, 480, 960, 1_920] {
-        let mut cluster = fleet(machines);
+        let mut cluster = full_fleet(machines);
         let start = cluster.engine_time;
         cluster.engine_time = Duration::ZERO;
         cluster.run(30_000);
@@ -56,32 +58,30 @@
         cluster.run(30_000);
         let with_more_jobs = cluster.engine_time / 30;
         println!(
-            "{machines} machines: start {start:?} in all; a second of heartbeats alone \
-             {steady:?}, with 40 large gangs for which there is no capacity {without_capacity:?}, and with 960 \
-             more jobs {with_more_jobs:?}"
+            "{machines} machines: start {start:?} in total; per second {steady:?} with heartbeats \
+             alone, {without_capacity:?} with 40 large gangs for which there is no capacity, and \
+             {with_more_jobs:?} with 960 more jobs"
         );
     }
 }
 
-/// The longest steps by what they begin with, when the fleet starts and through a failover.
+/// Prints the longest engine steps by the kind of their first command, for the start of the fleet
+/// and for a failover.
 #[test]
 #[ignore = "measures, decides nothing"]
 fn measure_longest_engine_steps() {
     for machines in [200, 1_000, 4_000] {
-        let mut cluster = fleet(machines);
+        let mut cluster = full_fleet(machines);
         println!("{machines} machines, start: {:?}", cluster.longest_steps);
         cluster.longest_steps.clear();
         cluster.crash_leader();
         cluster.submit(short_job("run-9", JobKind::Array, 40));
         cluster.run(30_000);
-        println!(
-            "{machines} machines, change of leader: {:?}",
-            cluster.longest_steps
-        );
+        println!("{machines} machines, failover: {:?}", cluster.longest_steps);
     }
 }
 
-/// The last heartbeat of each of these machines.
+/// Returns the last heartbeat of each of these machines.
 fn last_heartbeats<'a>(
     cluster: &SimulatedCluster,
     machines: impl IntoIterator<Item = &'a String>,
@@ -92,26 +92,27 @@
         .collect()
 }
 
-/// All workers find the new leader within a second, with late copies among their heartbeats. Each
-/// keeps its lease and its tasks, and gets new ones; no other node is elected.
+/// Guards against a failover that a large fleet overloads: all workers send heartbeats to the new
+/// leader within a second, and late copies of earlier heartbeats arrive among them. Each worker
+/// must keep its lease and its tasks and get new ones, and no other node may be elected.
 #[test]
-fn large_fleet_reports_after_a_failover() {
-    let mut cluster = fleet(1_900);
-    // Longer than a machine may take to boot.
+fn large_fleet_keeps_leases_and_tasks_after_a_failover() {
+    let mut cluster = full_fleet(1_900);
+    // This is longer than a machine may take to boot.
     cluster.run(30_000);
     let (busy, starts, term) = (cluster.busy_machines(), cluster.starts, cluster.term());
-    let copies = last_heartbeats(&cluster, &busy);
+    let late_copies = last_heartbeats(&cluster, &busy);
     cluster.crash_leader();
     cluster.run(3_000);
     cluster.heartbeat_all_within(1_000);
-    for copies in copies.chunks(200) {
-        cluster.redeliver_heartbeats(copies);
+    for batch in late_copies.chunks(200) {
+        cluster.redeliver_heartbeats(batch);
         cluster.run(200);
     }
     cluster.run(12_000);
     assert_eq!(cluster.term(), term + 1);
     cluster.submit(short_job("run-9", JobKind::Array, 40));
-    assert!(cluster.run_until(60_000, |w| w.is_done("run-9")));
+    assert!(cluster.run_until(60_000, |cluster| cluster.is_done("run-9")));
     assert_eq!(cluster.term(), term + 1, "no other node was elected");
     assert_eq!(
         (cluster.all_running_tasks(), cluster.starts),
@@ -126,30 +127,33 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Half of the fleet hangs at once and is replaced, late copies of its heartbeats arrive, and the
-/// leader crashes meanwhile. Every task is placed again, services first, and none runs twice.
+/// Half of the machines hang at once and are replaced, late copies of their heartbeats arrive, and
+/// the leader crashes in the meantime. Every lost task must be placed again, services first, and no
+/// task may run twice.
 #[test]
-fn tasks_of_half_a_large_fleet_are_placed_again() {
-    let mut cluster = fleet(1_000);
+fn tasks_of_half_a_hung_fleet_are_placed_again_services_first() {
+    let mut cluster = full_fleet(1_000);
     let hung: Vec<String> = cluster.workers.keys().step_by(2).cloned().collect();
     let tasks_on = |machine: &String| cluster.workers[machine].tasks.len() as u64;
     let lost: u64 = hung.iter().map(tasks_on).sum();
     let starts = cluster.starts;
     let services = cluster.running_tasks_of_jobs("run-1");
-    let copies = last_heartbeats(&cluster, &hung);
+    let late_copies = last_heartbeats(&cluster, &hung);
     cluster.faults.hung_machines.extend(hung.iter().cloned());
     cluster.run(17_500);
     let leader = cluster.crash_leader();
     cluster.run(300);
     cluster.start(leader);
-    // Nothing but a return proves that the tasks of a hung machine are gone.
-    let mut services_at = None;
+    // Only the return of a hung machine proves that its tasks have ended.
+    let mut running_when_services_recovered = None;
     for second in 0..120 {
-        cluster.redeliver_heartbeats(&copies[second % copies.len()..][..1]);
+        cluster.redeliver_heartbeats(&late_copies[second % late_copies.len()..][..1]);
         cluster.run(1_000);
-        // Tasks on hung machines don't count.
-        if services_at.is_none() && cluster.running_tasks_of_jobs("run-1") == services {
-            services_at = Some(cluster.all_running_tasks());
+        // Tasks on hung machines are not counted.
+        if running_when_services_recovered.is_none()
+            && cluster.running_tasks_of_jobs("run-1") == services
+        {
+            running_when_services_recovered = Some(cluster.all_running_tasks());
         }
         if cluster.all_running_tasks() == 4_000 {
             break;
@@ -162,8 +166,8 @@
         cluster.returned_machines.len()
     );
     assert!(
-        services_at.is_some_and(|running| running < 4_000),
-        "services first"
+        running_when_services_recovered.is_some_and(|running| running < 4_000),
+        "services are placed first"
     );
     assert_eq!(cluster.starts, starts + lost);
     assert!(
--- a/src/engine/tests/leadership.rs
+++ b/src/engine/tests/leadership.rs
@@ -7,7 +7,7 @@
 #[test]
 fn leader_refused_by_the_state_service_is_replaced() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     let former_leader = cluster.leader().unwrap();
     cluster.faults.store_refuses.insert(former_leader);
     assert!(cluster.run_until(
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn leader_without_workers_transfers_leadership() {
+fn leader_that_reaches_no_worker_transfers_leadership() {
     let mut cluster = cluster_with_two_services();
     cluster.run(5_000);
     let (former_leader, busy) = (cluster.leader().unwrap(), cluster.busy_machines());
@@ -43,8 +43,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// A leader without state service and peers, but with its workers, gives up leadership, and its
-/// successor returns none of the machines meanwhile.
+/// A leader that reaches its workers, but neither the state service nor its peers, must give up
+/// leadership. Its successor must not return any of the busy machines in the meantime.
 #[test]
 fn leader_isolated_with_its_workers_gives_up_leadership() {
     let mut cluster = cluster_with_two_services();
@@ -54,16 +54,19 @@
     cluster.faults.store_refuses.insert(former_leader);
     cluster.faults.nodes_without_peers.insert(former_leader);
     assert!(
-        cluster.run_until(8_000, |w| w.leader() != Some(former_leader)
-            && w.leader().is_some())
+        cluster.run_until(8_000, |cluster| cluster.leader() != Some(former_leader)
+            && cluster.leader().is_some())
     );
     cluster.run(8_000);
     let status = cluster.engine(former_leader).unwrap().status();
     assert!(
         !status.leading,
-        "it gives up within half of the grace period"
+        "the isolated leader gives up leadership within half of the grace period"
+    );
+    assert!(
+        !status.ready,
+        "the isolated leader is not ready, so that other nodes serve users"
     );
-    assert!(!status.ready, "users are served by other nodes");
     cluster.cancel("run-2");
     cluster.run(12_000);
     let running = ["run-1", "run-2"].map(|id| cluster.running_tasks(id));
@@ -72,7 +75,7 @@
     assert!(!returned.any(|machine| busy.contains(machine)));
     assert_eq!(cluster.starts, 8);
     assert_eq!(cluster.violations, Vec::<String>::new());
-    // An isolated follower gives up its workers, too.
+    // An isolated follower gives up its workers as well.
     let follower = (0..3)
         .find(|node| *node != former_leader && Some(*node) != cluster.leader())
         .unwrap();
@@ -85,13 +88,13 @@
     assert_eq!((cluster.running_tasks("run-1"), cluster.starts), (4, 8));
 }
 
-/// The job is cancelled through another node while the state service refuses the leader and no
-/// other node is up to succeed it: the leader stops accepting heartbeats early enough for the
-/// worker's lease to expire in time.
+/// A job is cancelled while the state service refuses the leader and no other node is up to succeed
+/// it. The leader, which can't learn of the cancellation, must stop accepting heartbeats early
+/// enough for the worker's lease to expire in time.
 #[test]
 fn cancellation_stops_tasks_of_an_isolated_leader() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     let leader = cluster.leader().unwrap();
     for node in (0..3).filter(|node| *node != leader) {
         cluster.crash(node);
@@ -104,16 +107,17 @@
     assert_eq!(cluster.running_tasks("run-1"), 0);
 }
 
-/// Guards against followers that take a healthy leader for lost because connections between nodes
-/// fail: they must not keep workers that report to them, so that these are taken for dead.
+/// Guards against followers that consider a healthy leader lost because connections between nodes
+/// fail, and therefore keep the workers that report to them until the leader considers these
+/// workers dead.
 #[test]
 fn unreachable_peers_do_not_keep_workers_from_the_leader() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     let (leader, term) = (cluster.leader(), cluster.term());
     cluster.faults.nodes_without_peers.extend([0, 1, 2]);
     cluster.run(5_000);
-    // It needs a machine that is not rented yet, and whose worker first reports to a follower.
+    // The gang needs a machine that is not rented yet and whose worker reports to a follower first.
     cluster.initial_node = leader.map(|leader| (leader + 1) % 3);
     cluster.submit(short_job("run-2", JobKind::Gang, 7));
     assert_completes(&mut cluster, "run-2", 60_000);
--- a/src/engine/tests/machine_lists.rs
+++ b/src/engine/tests/machine_lists.rs
@@ -1,28 +1,28 @@
-//! Wrong machine lists of the cloud.
+//! Incorrect machine lists from the cloud.
 
 use super::simulated_cluster::{ListFault, SimulatedCluster};
 use super::support::{cluster_with, short_job};
 use crate::constants;
 use crate::wire::user::JobKind;
 
-fn cluster_with_machines() -> SimulatedCluster {
+fn cluster_with_running_service() -> SimulatedCluster {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 4)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 4));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 4));
     cluster
 }
 
-/// A list that never ends, or repeats a page, must not keep all of the cloud's calls busy. It is
-/// abandoned and read again later; no running task is lost meanwhile, and a correct list is
-/// accepted again.
+/// Guards against a machine list that never ends or repeats a page, and keeps all calls to the
+/// cloud busy. The list must be abandoned and read again later; no running task may be lost in the
+/// meantime, and a correct list must be accepted again.
 #[test]
 fn endless_machine_list_is_abandoned_and_read_again() {
     for fault in [ListFault::Repeats, ListFault::Endless] {
-        let mut cluster = cluster_with_machines();
+        let mut cluster = cluster_with_running_service();
         let (busy, starts) = (cluster.busy_machines(), cluster.starts);
         cluster.faults.machine_list = fault;
-        let before = cluster.listed_pages;
+        let pages_before = cluster.listed_pages;
         cluster.run(60_000);
-        let pages = cluster.listed_pages - before;
+        let pages = cluster.listed_pages - pages_before;
         let lists = 60_000 / crate::model::whole_millis(constants::MACHINE_LIST_INTERVAL) + 1;
         let max_pages = match fault {
             ListFault::Repeats => 2 * lists,
@@ -44,10 +44,10 @@
     }
 }
 
-/// A machine that a list names twice is one machine.
+/// A machine that a list names twice must count as one machine.
 #[test]
 fn machine_listed_twice_counts_once() {
-    let mut cluster = cluster_with_machines();
+    let mut cluster = cluster_with_running_service();
     cluster.faults.machine_list = ListFault::Doubled;
     let (busy, starts) = (cluster.busy_machines(), cluster.starts);
     cluster.run(60_000);
@@ -55,11 +55,11 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// A new leader whose first list never ends takes the fleet for neither empty nor complete: it
-/// rents no machine until a list has ended.
+/// A new leader whose first machine list never ends must consider the fleet neither empty nor
+/// complete: it rents no machine until a list has ended.
 #[test]
-fn endless_machine_list_is_not_taken_for_an_empty_fleet() {
-    let mut cluster = cluster_with_machines();
+fn endless_machine_list_does_not_count_as_an_empty_fleet() {
+    let mut cluster = cluster_with_running_service();
     let (busy, starts) = (cluster.busy_machines(), cluster.starts);
     cluster.faults.machine_list = ListFault::Repeats;
     let leader = cluster.leader().unwrap();
@@ -73,7 +73,7 @@
             .all(|machine| !cluster.returned_machines.contains(machine))
     );
     cluster.faults.machine_list = ListFault::None;
-    assert!(cluster.run_until(120_000, |w| w.is_done("run-2")));
+    assert!(cluster.run_until(120_000, |cluster| cluster.is_done("run-2")));
     assert_eq!(
         (cluster.running_tasks("run-1"), cluster.starts),
         (4, starts + 8)
--- a/src/engine/tests/machines.rs
+++ b/src/engine/tests/machines.rs
@@ -7,14 +7,20 @@
 #[test]
 fn hung_machine_is_replaced_without_duplicate_tasks() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     let machine = cluster.machine_of("run-1").unwrap();
     cluster.faults.hung_machines.insert(machine.clone());
     cluster.faults.cloud_unavailable = true;
     cluster.run(60_000);
-    assert_eq!(cluster.starts, 1, "missing heartbeats alone prove nothing");
+    assert_eq!(
+        cluster.starts, 1,
+        "missing heartbeats alone do not prove that the task has ended"
+    );
     cluster.faults.cloud_unavailable = false;
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1 && w.starts == 2));
+    assert!(
+        cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1
+            && cluster.starts == 2)
+    );
     assert!(cluster.returned_machines.contains(&machine));
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
@@ -36,12 +42,12 @@
     let returned_before = cluster.returned_machines.len();
     cluster.submit(short_job("run-4", JobKind::Array, 1));
     cluster.faults.failing_jobs.insert("run-4".into());
-    let before = cluster.starts;
+    let starts_before = cluster.starts;
     cluster.run(100_000);
     assert!(
-        cluster.starts - before <= 10,
+        cluster.starts - starts_before <= 10,
         "{} starts of a job that fails",
-        cluster.starts - before
+        cluster.starts - starts_before
     );
     let returned = cluster.returned_machines[returned_before..]
         .iter()
@@ -55,7 +61,7 @@
         short_job("run-1", JobKind::Service, 2),
         short_job("run-2", JobKind::Array, 2),
     ]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 2));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 2));
     let machine = cluster.machine_of("run-1").unwrap();
     for _ in 0..20 {
         cluster.redeliver_heartbeats(&cluster.heartbeats_of(&machine));
@@ -68,7 +74,7 @@
 #[test]
 fn unknown_tasks_are_stopped() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     let machine = cluster.machine_of("run-1").unwrap();
     cluster
         .jobs
@@ -80,11 +86,11 @@
 }
 
 /// Guards against a machine that counts as alive because its heartbeats arrive, although no reply
-/// reaches it: it must get no tasks, and be returned.
+/// reaches it. The machine must get no tasks and must be returned.
 #[test]
 fn machine_without_replies_gets_no_tasks_and_is_replaced_once_returned() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     cluster.run(10_000);
     let machine = cluster.machine_of("run-1").unwrap();
     cluster
@@ -92,42 +98,50 @@
         .machines_without_replies
         .insert(machine.clone());
     cluster.run(10_000);
-    // It has turned to another node meanwhile, which shows that it receives no replies.
+    // The machine's worker has switched to another node in the meantime, which shows that it
+    // receives no replies.
     cluster.submit(short_job("run-2", JobKind::Array, 3));
     assert!(
-        cluster.run_until(60_000, |w| w.is_done("run-2")),
+        cluster.run_until(60_000, |cluster| cluster.is_done("run-2")),
         "{}",
         cluster.describe()
     );
-    assert!(cluster.run_until(30_000, |w| w.returned_machines.contains(&machine)));
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    assert_eq!(cluster.starts, 5, "no start was sent to it");
+    assert!(cluster.run_until(30_000, |cluster| {
+        cluster.returned_machines.contains(&machine)
+    }));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
+    assert_eq!(
+        cluster.starts, 5,
+        "no start was sent to the machine without replies"
+    );
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// The same for a machine that has received no reply from this leader, with a task from before the
-/// failover.
+/// Guards against a machine that counts as alive after a failover, although it has never received a
+/// reply from the new leader. It still has a task from before the failover.
 #[test]
 fn machine_without_replies_since_a_failover_is_replaced() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     let machine = cluster.machine_of("run-1").unwrap();
     cluster.crash_leader();
     cluster
         .faults
         .machines_without_replies
         .insert(machine.clone());
-    assert!(cluster.run_until(90_000, |w| w.returned_machines.contains(&machine)));
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(90_000, |cluster| {
+        cluster.returned_machines.contains(&machine)
+    }));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Copies of heartbeats, seconds to several leases old, arrive at every node: at the leader that
-/// had them, at a new one, and of a machine that is gone.
+/// Copies of heartbeats that are between seconds and several leases old arrive at every node: first
+/// at the leader that had received them, and later, when the machine is gone, at a new leader.
 #[test]
 fn stale_heartbeats_neither_keep_nor_restore_a_machine() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     cluster.run(20_000);
     let machine = cluster.machine_of("run-1").unwrap();
     let heartbeats = cluster.heartbeats_of(&machine);
@@ -138,15 +152,17 @@
     }
     assert!(
         cluster.returned_machines.contains(&machine),
-        "its lease expired in spite of the copies"
+        "the machine's lease expires despite the copies"
     );
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     cluster.crash_leader();
     cluster.run(6_000);
     cluster.submit(short_job("run-2", JobKind::Gang, 4));
-    // A machine rented at once boots for 20 s; the image is fetched for 8 s, the tasks run for 10 s.
+    // A machine that is rented at once boots for 20 s, fetches the image for 8 s and runs the tasks
+    // for 10 s.
     for _ in 0..48 {
-        // The new leader has no heartbeat of that machine: its resources must not count.
+        // The new leader has received no heartbeat from that machine, so the machine's resources
+        // must not count.
         cluster.redeliver_heartbeats(&heartbeats);
         cluster.run(1_000);
     }
@@ -155,17 +171,17 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// A worker restarts before its lease has expired: a new incarnation at the same address.
+/// A worker restarts before its lease has expired, as a new incarnation at the same address.
 #[test]
 fn restarted_worker_gets_its_tasks_again() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 3)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 3));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 3));
     cluster.run(5_000);
     let machine = cluster.machine_of("run-1").unwrap();
-    let old = cluster.heartbeats_of(&machine);
+    let old_heartbeats = cluster.heartbeats_of(&machine);
     cluster.restart_worker(&machine);
-    cluster.redeliver_heartbeats(&old);
-    assert!(cluster.run_until(40_000, |w| w.running_tasks("run-1") == 3));
+    cluster.redeliver_heartbeats(&old_heartbeats);
+    assert!(cluster.run_until(40_000, |cluster| cluster.running_tasks("run-1") == 3));
     assert_eq!((cluster.starts, cluster.returned_machines.len()), (6, 0));
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
@@ -177,16 +193,24 @@
         short_job("run-1", JobKind::Service, 2),
         short_job("run-2", JobKind::Service, 2),
     ]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1")
-        + w.running_tasks("run-2")
-        == 4));
+    assert!(
+        cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1")
+            + cluster.running_tasks("run-2")
+            == 4)
+    );
     cluster.submit(short_job("run-3", JobKind::Service, 2));
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-3") == 2));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-3") == 2));
     assert_eq!(cluster.workers.len(), 2);
     cluster.cancel("run-1");
-    let consolidated = cluster.run_until(150_000, |w| w.workers.len() == 1);
+    let consolidated = cluster.run_until(150_000, |cluster| cluster.workers.len() == 1);
     assert!(consolidated, "{}", cluster.describe());
-    let both = |w: &SimulatedCluster| w.running_tasks("run-2") + w.running_tasks("run-3") == 4;
-    assert!(cluster.run_until(10_000, both), "{}", cluster.describe());
+    let both_run = |cluster: &SimulatedCluster| {
+        cluster.running_tasks("run-2") + cluster.running_tasks("run-3") == 4
+    };
+    assert!(
+        cluster.run_until(10_000, both_run),
+        "{}",
+        cluster.describe()
+    );
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
--- a/src/engine/tests/message_reordering.rs
+++ b/src/engine/tests/message_reordering.rs
@@ -1,4 +1,5 @@
-//! Late and overtaken messages. Each test fails if the guard against them is removed.
+//! Late and reordered messages. Each test fails if the guard against the reordering is removed from
+//! the engine.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
 use super::support::{assert_completes, cluster_with, dependent_job, lasting_job, short_job};
@@ -6,13 +7,14 @@
 use crate::wire::user::{JobKind, JobState};
 use crate::wire::worker::{Task, TaskState};
 
-/// How often the machine was returned.
-fn returns(cluster: &SimulatedCluster, machine: &str) -> usize {
-    let same = |name: &&String| name.as_str() == machine;
-    cluster.returned_machines.iter().filter(same).count()
+/// Returns how often the machine was returned to the cloud.
+fn return_count(cluster: &SimulatedCluster, machine: &str) -> usize {
+    let is_machine = |name: &&String| name.as_str() == machine;
+    cluster.returned_machines.iter().filter(is_machine).count()
 }
 
-/// A cluster whose only machine has completed its task and is idle.
+/// Returns a cluster whose only machine has completed its task and is idle, and that machine's
+/// name.
 fn cluster_with_one_idle_machine() -> (SimulatedCluster, String) {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Array, 1)]);
     assert_completes(&mut cluster, "run-1", 60_000);
@@ -21,65 +23,70 @@
     (cluster, machines[0].clone())
 }
 
-/// Guards against resources of a returned machine: a heartbeat with the leader's own fencing token
-/// arrives after the return was confirmed, and must not restore the machine. Tasks placed there
-/// would wait until its lease expires.
+/// Guards against tasks that are placed on a returned machine: a heartbeat with the leader's own
+/// fencing token arrives after the return was confirmed and must not restore the machine. Tasks
+/// placed there would wait until its lease expires.
 #[test]
 fn late_heartbeat_does_not_restore_a_returned_machine() {
     let (mut cluster, machine) = cluster_with_one_idle_machine();
     let mut heartbeats = cluster.heartbeats_of(&machine);
-    // The others name a lower fencing token, or a task.
+    // The earlier heartbeats carry a lower fencing token or name a task.
     heartbeats.drain(..heartbeats.len() - 1);
-    assert!(cluster.run_until(120_000, |w| returns(w, &machine) == 1));
+    assert!(cluster.run_until(120_000, |cluster| return_count(cluster, &machine) == 1));
     cluster.run(1_000);
     cluster.redeliver_heartbeats(&heartbeats);
     cluster.submit(short_job("run-2", JobKind::Array, 1));
     // A machine boots in 20 s.
     assert!(
-        cluster.run_until(24_000, |w| w.started_jobs.contains("run-2")),
+        cluster.run_until(24_000, |cluster| cluster.started_jobs.contains("run-2")),
         "{}",
         cluster.describe()
     );
     assert_completes(&mut cluster, "run-2", 60_000);
-    assert_eq!(returns(&cluster, &machine), 1);
+    assert_eq!(return_count(&cluster, &machine), 1);
 }
 
-/// The same for the cloud's machine list, made before a return and received after it.
+/// A machine list that the cloud made before the return of a machine and that arrives after it must
+/// not restore the machine.
 #[test]
 fn late_machine_list_does_not_restore_a_returned_machine() {
     let (mut cluster, machine) = cluster_with_one_idle_machine();
-    // Longer than the pause between two lists: one is pending whenever a machine is returned.
+    // This is longer than the pause between two lists, so that a list is pending whenever a machine
+    // is returned.
     cluster.faults.machine_list_delay = 7_000;
-    assert!(cluster.run_until(120_000, |w| returns(w, &machine) == 1));
+    assert!(cluster.run_until(120_000, |cluster| return_count(cluster, &machine) == 1));
     cluster.run(60_000);
-    assert_eq!(returns(&cluster, &machine), 1);
+    assert_eq!(return_count(&cluster, &machine), 1);
 }
 
-/// Guards against placements of a former term: they ended under another leader, and no round names
-/// them any more. Their tasks would count as placed for ever.
+/// Guards against a re-elected leader that keeps placements of its former term: they ended under
+/// another leader, and no round names them anymore. Their tasks would count as placed forever.
 #[test]
-fn reelected_leader_forgets_placements_of_its_former_term() {
+fn reelected_leader_discards_placements_of_its_former_term() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    let first = cluster.leader().unwrap();
-    cluster.faults.store_refuses.insert(first);
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
+    let reelected = cluster.leader().unwrap();
+    cluster.faults.store_refuses.insert(reelected);
     assert!(cluster.run_until(20_000, |cluster| {
-        cluster.leader().is_some_and(|leader| leader != first)
+        cluster.leader().is_some_and(|leader| leader != reelected)
     }));
     cluster.faults.store_refuses.clear();
     cluster.run(5_000);
     let machine = cluster.machine_of("run-1").unwrap();
     cluster.faults.hung_machines.insert(machine.clone());
     cluster.faults.zone_capacity = Some(0);
-    assert!(cluster.run_until(60_000, |w| returns(w, &machine) == 1));
-    assert!(cluster.run_until(20_000, |w| w.count_keys(records::ROUND_PREFIX) == 0));
-    for node in (0..3).filter(|node| *node != first) {
+    assert!(cluster.run_until(60_000, |cluster| return_count(cluster, &machine) == 1));
+    assert!(
+        cluster.run_until(20_000, |cluster| cluster.count_keys(records::ROUND_PREFIX)
+            == 0)
+    );
+    for node in (0..3).filter(|node| *node != reelected) {
         cluster.crash(node);
     }
     cluster.faults.zone_capacity = None;
-    assert!(cluster.run_until(20_000, |w| w.leader() == Some(first)));
+    assert!(cluster.run_until(20_000, |cluster| cluster.leader() == Some(reelected)));
     assert!(
-        cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1),
+        cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1),
         "{}",
         cluster.describe()
     );
@@ -87,22 +94,23 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against a watch reply that a newer one has overtaken: it must not set the node back to
-/// the older revision, so that status queries that wait for the newer one get no reply.
+/// Guards against a watch reply that arrives after a newer one: it must not set the node back to
+/// the older revision, because status queries that wait for the newer revision would then get no
+/// reply.
 #[test]
-fn overtaken_watch_reply_changes_nothing() {
+fn watch_reply_older_than_the_last_one_changes_nothing() {
     const REPLY_DELAY: Millis = 900;
     for offset in [0, 130, 260, 390] {
-        let first = lasting_job("run-1", JobKind::Service, 1, 300.0);
-        let second = dependent_job("run-2", JobKind::Array, 1, &["run-1"]);
-        let mut cluster = cluster_with(vec![first, second]);
+        let dependency = lasting_job("run-1", JobKind::Service, 1, 300.0);
+        let dependent = dependent_job("run-2", JobKind::Array, 1, &["run-1"]);
+        let mut cluster = cluster_with(vec![dependency, dependent]);
         cluster.run(20_000);
         // Without a leader no final record of the dependent is written.
         let leader = cluster.crash_leader();
         let node = (leader + 1) % 3;
         cluster.run(offset);
         cluster.faults.watch_delay.insert(node, REPLY_DELAY);
-        // The watch reply with this change is late.
+        // The watch reply that carries this change is late.
         cluster.submit(short_job("run-3", JobKind::Array, 1));
         cluster.faults.watch_delay.clear();
         cluster.cancel("run-1");
@@ -110,7 +118,7 @@
         let cancelled = Some(JobState::Cancelled);
         assert_eq!(cluster.blocked_job_state(node, "run-2"), cancelled);
         cluster.run(cancelled_at + REPLY_DELAY - 20 - cluster.now);
-        // The change that this query waits for comes after the late watch reply.
+        // The change that this query waits for arrives after the late watch reply.
         cluster.faults.watch_delay.insert(node, 60);
         assert_eq!(
             cluster.blocked_job_state(node, "run-2"),
@@ -120,18 +128,20 @@
     }
 }
 
-/// Guards against a stale snapshot: a started task is reported for the first time and neither runs
-/// nor fetches, since its gang is incomplete. Its machine must be unlocked at once.
+/// Guards against a stale machine snapshot: the first heartbeat that names a started task reports
+/// it as neither running nor fetching, because its gang is incomplete. The machine must be unlocked
+/// at once.
 #[test]
 fn started_task_waiting_for_its_gang_unlocks_its_machine() {
     let (mut cluster, machine) = cluster_with_one_idle_machine();
     cluster.submit(short_job("run-2", JobKind::Gang, 1));
-    let started = |w: &SimulatedCluster| w.workers[&machine].tasks.contains_key("run-2/0");
-    let waits = (0..10_000).find(|_| {
+    let started =
+        |cluster: &SimulatedCluster| cluster.workers[&machine].tasks.contains_key("run-2/0");
+    let start_ms = (0..10_000).find(|_| {
         cluster.run(1);
         started(&cluster)
     });
-    assert!(waits.is_some(), "not started");
+    assert!(start_ms.is_some(), "not started");
     let mut heartbeat = cluster.heartbeats_of(&machine).pop().unwrap();
     heartbeat.sequence += 1;
     heartbeat.tasks = vec![Task {
@@ -147,36 +157,41 @@
     assert_completes(&mut cluster, "run-2", 60_000);
 }
 
-/// Guards against tasks taken for present: a heartbeat is compared task by task only if it names
-/// another number of tasks than are placed there, and here it names one less.
+/// Guards against lost tasks that count as present: a heartbeat is compared task by task only if
+/// the number of tasks in it differs from the number placed on the machine. Here it names one task
+/// less.
 #[test]
 fn lost_task_is_placed_again() {
     for tasks in [1, 3] {
         let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, tasks)]);
-        let all = |w: &SimulatedCluster| w.running_tasks("run-1") as u64 == tasks;
+        let all = |cluster: &SimulatedCluster| cluster.running_tasks("run-1") as u64 == tasks;
         assert!(cluster.run_until(60_000, all));
         cluster.run(5_000);
         let starts = cluster.starts;
         let mut workers = cluster.workers.values_mut();
         assert!(workers.any(|worker| worker.tasks.remove("run-1/0").is_some()));
-        assert!(cluster.run_until(30_000, |w| w.starts > starts && all(w)));
+        assert!(cluster.run_until(30_000, |cluster| cluster.starts > starts && all(cluster)));
         assert_eq!(cluster.starts, starts + 1);
         assert_eq!(cluster.violations, Vec::<String>::new());
     }
 }
 
-/// Guards against stops that are sent directly only: direct commands are lost here, and heartbeat
-/// replies carry them as well.
+/// Guards against stops that are sent only as direct commands: here, direct commands are lost, and
+/// the stop must arrive with a heartbeat reply.
 #[test]
 fn stops_are_also_sent_with_heartbeat_replies() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Gang, 2)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 2));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 2));
     cluster.faults.lose_direct_commands = true;
-    // One task of the gang is lost: the other is stopped.
+    // One task of the gang is lost, so the other one is stopped.
     let mut workers = cluster.workers.values_mut();
     assert!(workers.any(|worker| worker.tasks.remove("run-1/0").is_some()));
-    let stopped =
-        |w: &SimulatedCluster| w.workers.values().all(|w| !w.tasks.contains_key("run-1/1"));
+    let stopped = |cluster: &SimulatedCluster| {
+        cluster
+            .workers
+            .values()
+            .all(|worker| !worker.tasks.contains_key("run-1/1"))
+    };
     assert!(cluster.run_until(12_000, stopped), "{}", cluster.describe());
     assert_completes(&mut cluster, "run-1", 120_000);
 }
--- a/src/engine/tests/mod.rs
+++ b/src/engine/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios of the engine in a simulated cluster under a fake clock.
+//! Scenario tests of the engine in a simulated cluster under a fake clock.
 
 mod combined_faults;
 mod dependencies;
--- a/src/engine/tests/partitions.rs
+++ b/src/engine/tests/partitions.rs
@@ -4,13 +4,13 @@
 use crate::wire::user::JobKind;
 
 #[test]
-fn commits_without_a_reply_are_resolved() {
-    for every in 2..5 {
+fn jobs_complete_although_commit_replies_are_lost() {
+    for lose_every in 2..5 {
         let mut cluster = cluster_with(vec![
             short_job("run-1", JobKind::Array, 6),
             short_job("run-2", JobKind::Gang, 3),
         ]);
-        cluster.faults.lose_commit_reply_every = every;
+        cluster.faults.lose_commit_reply_every = lose_every;
         assert_completes(&mut cluster, "run-1", 240_000);
         assert_completes(&mut cluster, "run-2", 240_000);
     }
@@ -19,7 +19,7 @@
 #[test]
 fn state_service_outage_stops_starts_but_not_running_tasks() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     cluster.submit(short_job("run-2", JobKind::Array, 1));
     cluster.faults.store_unavailable = true;
     cluster.run(15_000);
@@ -32,12 +32,14 @@
 
 #[test]
 fn partitioned_zone_keeps_tasks_and_receives_cancellations() {
-    let one = short_job("run-1", JobKind::Service, 1).in_zone("west");
-    let other = short_job("run-2", JobKind::Service, 1).in_zone("west");
-    let mut cluster = cluster_with(vec![one, other]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1")
-        + w.running_tasks("run-2")
-        == 2));
+    let kept = short_job("run-1", JobKind::Service, 1).in_zone("west");
+    let cancelled = short_job("run-2", JobKind::Service, 1).in_zone("west");
+    let mut cluster = cluster_with(vec![kept, cancelled]);
+    assert!(
+        cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1")
+            + cluster.running_tasks("run-2")
+            == 2)
+    );
     move_leadership_east(&mut cluster);
     cluster.faults.zones_partitioned = true;
     cluster.run(15_000);
@@ -60,13 +62,13 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against a node that gives its workers up after half of the grace period: its zone is
-/// partitioned, and the state service refuses it as well.
+/// Guards against a node that gives up its workers after half of the grace period: its zone is
+/// partitioned, and the state service refuses the node as well.
 #[test]
 fn isolated_zone_keeps_tasks_for_the_whole_grace_period() {
     let service = short_job("run-1", JobKind::Service, 3).in_zone("west");
     let mut cluster = cluster_with(vec![service]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 3));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 3));
     move_leadership_east(&mut cluster);
     cluster.faults.zones_partitioned = true;
     cluster.faults.store_refuses.insert(1);
--- a/src/engine/tests/slow_links.rs
+++ b/src/engine/tests/slow_links.rs
@@ -1,5 +1,5 @@
-//! Slow links: each message is delayed independently, up to a bound, so that replies come late and
-//! overtake one another, with more tasks than resources.
+//! Slow links: each message is delayed independently up to a bound, so that replies arrive late and
+//! out of order, also while tasks request more than the resources.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
 use super::support::{JobChanges, lasting_job, short_job, whole_machine_gang};
@@ -7,12 +7,12 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// The longest time that a job may wait for its start.
+/// Maximum time that a job may wait for its start.
 const MAX_WAIT: Millis = 240_000;
-/// The longest time that a job may wait beside free capacity for it.
-const MAX_WAIT_BESIDE_CAPACITY: Millis = 90_000;
+/// Maximum time that a job may wait although there is free capacity for it.
+const MAX_WAIT_WITH_CAPACITY: Millis = 90_000;
 
-/// The largest jobs of each kind.
+/// Returns a large gang and a large array.
 fn large_jobs() -> [JobSubmission; 2] {
     let mut gang = whole_machine_gang("run-gang", 8);
     gang.single_zone = true;
@@ -22,7 +22,7 @@
 
 fn cluster_with_jitter(seed: u64, max_jitter: Millis) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(3, 400.0);
-    // Eight machines in each zone.
+    // Each zone has eight machines.
     cluster.faults.zone_capacity = Some(8);
     cluster.run(2_000);
     cluster.jitter = SmallRng::seed_from_u64(seed);
@@ -30,9 +30,9 @@
     cluster
 }
 
-/// More tasks than resources for that many seconds: each second more small jobs, every other second
-/// of high priority, than the machines can run.
-fn overload(cluster: &mut SimulatedCluster, submitted: &mut u64, seconds: u64) {
+/// Submits more small jobs each second than the machines can run, for that many seconds; every
+/// other second the jobs have high priority.
+fn run_overloaded(cluster: &mut SimulatedCluster, submitted: &mut u64, seconds: u64) {
     for second in 0..seconds {
         for _ in 0..3 {
             *submitted += 1;
@@ -46,10 +46,10 @@
     }
 }
 
-/// All waiting jobs are placed within the longest time that they may wait beside free capacity.
+/// Asserts that all waiting jobs are placed within [`MAX_WAIT_WITH_CAPACITY`].
 #[track_caller]
 fn assert_all_placed(cluster: &mut SimulatedCluster, context: &str) {
-    let end = cluster.now + MAX_WAIT_BESIDE_CAPACITY;
+    let end = cluster.now + MAX_WAIT_WITH_CAPACITY;
     while cluster.now < end && !cluster.waiting_jobs().is_empty() {
         cluster.run(1_000);
     }
@@ -61,28 +61,29 @@
     );
 }
 
-/// Guards against starvation: more jobs than resources, of high priority and not, over slow links,
-/// with a failover. The largest gang and array start within four minutes of their submission, and
-/// all waiting jobs once the links are fast and there is capacity.
+/// Guards against starvation while jobs, some of high priority, request more than the resources,
+/// links are slow and the leader crashes. The large gang and the large array must start within four
+/// minutes of their submission, and all waiting jobs must start once the links are fast and there
+/// is capacity.
 #[test]
 fn overload_with_slow_links_starves_no_job() {
     for (seed, max_jitter) in [(1, 250), (2, 600)] {
         let context = format!("seed {seed}, links slow by up to {max_jitter} ms");
         let mut cluster = cluster_with_jitter(seed, max_jitter);
         let mut submitted = 0;
-        overload(&mut cluster, &mut submitted, 60);
+        run_overloaded(&mut cluster, &mut submitted, 60);
         let submitted_at = cluster.now;
         for job in large_jobs() {
             cluster.submit(job);
         }
-        overload(&mut cluster, &mut submitted, 60);
+        run_overloaded(&mut cluster, &mut submitted, 60);
         if let Some(leader) = cluster.leader() {
             cluster.crash(leader);
-            overload(&mut cluster, &mut submitted, 20);
+            run_overloaded(&mut cluster, &mut submitted, 20);
             cluster.start(leader);
         }
         while cluster.now < submitted_at + MAX_WAIT {
-            overload(&mut cluster, &mut submitted, 10);
+            run_overloaded(&mut cluster, &mut submitted, 10);
         }
         for job in large_jobs() {
             assert!(
@@ -92,7 +93,8 @@
                 cluster.describe()
             );
         }
-        // The faults end: there is capacity for all jobs that are left, a few tasks of each at a time.
+        // The faults end: there is now capacity for all remaining jobs, for a few tasks of each at
+        // a time.
         cluster.faults.max_jitter = 0;
         cluster.faults.zone_capacity = None;
         assert_all_placed(&mut cluster, &context);
@@ -100,10 +102,10 @@
     }
 }
 
-/// Guards against a job that waits beside free capacity because a message of its round was late:
-/// links are slow, but there is capacity for all.
+/// Guards against a job that waits despite free capacity because a message of its round was late:
+/// links are slow, but there is capacity for all jobs.
 #[test]
-fn no_job_waits_beside_free_capacity_with_slow_links() {
+fn slow_links_keep_no_job_waiting_despite_free_capacity() {
     for (seed, max_jitter) in [(1, 250), (2, 600), (3, 700)] {
         let context = format!("seed {seed}, links slow by up to {max_jitter} ms");
         let mut cluster = cluster_with_jitter(seed, max_jitter);
--- a/src/engine/tests/starvation.rs
+++ b/src/engine/tests/starvation.rs
@@ -1,13 +1,14 @@
-//! Large jobs and jobs of low priority beside a stream of others.
+//! Large jobs and low-priority jobs that compete with a stream of other jobs.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
 use super::support::{JobChanges, assert_completes, lasting_job, short_job, whole_machine_gang};
 use crate::wire::user::{JobKind, Priority};
 
-/// A gang needs sixteen whole machines in a zone of eighteen, beside a stream of small jobs that
-/// would use each machine as it becomes free, and across a failover.
+/// Guards against starvation of a gang that needs sixteen whole machines in a zone of eighteen: a
+/// stream of small jobs would use each machine as soon as it becomes free, and the leader crashes
+/// in the meantime.
 #[test]
-fn largest_gang_starts_within_four_minutes_beside_small_jobs() {
+fn largest_gang_starts_within_four_minutes_despite_small_jobs() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
     cluster.faults.zone_capacity = Some(18);
     cluster.run(2_000);
@@ -23,9 +24,9 @@
         }
     };
     submit_small_jobs(&mut cluster, 60_000);
-    let mut large = whole_machine_gang("run-gang", 16);
-    large.single_zone = true;
-    cluster.submit(large);
+    let mut large_gang = whole_machine_gang("run-gang", 16);
+    large_gang.single_zone = true;
+    cluster.submit(large_gang);
     submit_small_jobs(&mut cluster, 60_000);
     let leader = cluster.crash_leader();
     submit_small_jobs(&mut cluster, 20_000);
@@ -39,22 +40,22 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// The largest array, of the lowest priority, and a large service, with less capacity than jobs of
-/// high priority alone request.
+/// Guards against starvation of an array with the lowest priority and of a large service: the
+/// capacity is less than the jobs of high priority alone request.
 #[test]
-fn largest_array_and_service_start_within_four_minutes_beside_high_priority_jobs() {
+fn largest_array_and_service_start_within_four_minutes_despite_high_priority_jobs() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
     cluster.faults.zone_capacity = Some(4);
     cluster.run(2_000);
     let array = short_job("run-array", JobKind::Array, 150).with_priority(Priority::Low);
     let mut service = short_job("run-service", JobKind::Service, 8);
     (service.priority, service.spread_zones) = (Priority::Normal, true);
-    let mut urgent = 0;
+    let mut high_priority_jobs = 0;
     for second in 0..340 {
-        // Twice what the eight machines can run.
+        // These jobs request twice what the eight machines can run.
         for _ in 0..2 {
-            urgent += 1;
-            let mut job = short_job(&format!("run-{urgent}"), JobKind::Array, 2);
+            high_priority_jobs += 1;
+            let mut job = short_job(&format!("run-{high_priority_jobs}"), JobKind::Array, 2);
             (job.priority, job.expected_duration_s) = (Priority::High, 16.0);
             cluster.submit(job);
         }
@@ -64,7 +65,8 @@
         }
         cluster.run(1_000);
     }
-    // Each start counts: no task is preempted within 30 s of it, but later it may be.
+    // A job that has started is not starved, even if it was preempted later: no task is preempted
+    // within 30 s of its start.
     for id in ["run-array", "run-service"] {
         assert!(
             cluster.started_jobs.contains(id),
@@ -75,8 +77,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against a pass that considers only as many jobs as a round may name: there are more jobs
-/// than that which can't be placed, ahead of one that can.
+/// Guards against a scheduling pass that considers only as many jobs as a round may name: a larger
+/// number of jobs that can't be placed is ahead of one that can.
 #[test]
 fn unplaceable_jobs_at_the_head_of_the_queue_do_not_block_others() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
@@ -87,7 +89,7 @@
         (gang.gpus, gang.priority) = (4.0, Priority::High);
         cluster.submit(gang);
     }
-    let low = short_job("run-2", JobKind::Array, 4).with_priority(Priority::Low);
-    cluster.submit(low);
+    let placeable = short_job("run-2", JobKind::Array, 4).with_priority(Priority::Low);
+    cluster.submit(placeable);
     assert_completes(&mut cluster, "run-2", 60_000);
 }
