--- a/src/engine/tests/combined_faults/cancellations.rs
+++ b/src/engine/tests/combined_faults/cancellations.rs
@@ -1,4 +1,5 @@
-//! Cancellations during faults, and at the moment of a start or of the job's end.
+//! Cancellations during other faults, and cancellations that race with a start or with the job's
+//! completion.
 
 use super::super::simulated_cluster::SimulatedCluster;
 use super::super::support::{
@@ -8,34 +9,39 @@
 use crate::wire::user::{JobKind, JobState};
 use std::collections::BTreeSet;
 
-/// Guards against a leader that accepts heartbeats for longer than it can know of all
-/// cancellations: the state service refuses it alone, jobs are cancelled through other nodes, and
-/// nothing reaches it.
+/// Guards against a leader that accepts heartbeats for longer than it can be sure to know all
+/// cancellations: the state service refuses only the leader, a job is cancelled through another
+/// node, and the leader does not learn of it. Later the state service refuses all nodes.
 #[test]
-fn cancellation_while_the_leader_is_refused_and_then_all_nodes() {
+fn cancelled_tasks_stop_while_the_leader_and_then_all_nodes_are_refused() {
     for outage in [10_000, 40_000, 64_000] {
-        for gap in [200, 2_000] {
-            // The cancellation is before, at and after the refusal, and at the time of the outage.
-            for (early, late) in [(100, 0), (0, 0), (0, 100), (0, gap)] {
-                for (peers, restarted) in [(true, false), (false, false), (true, true)] {
+        for outage_delay in [200, 2_000] {
+            // The job is cancelled before the refusal, at the same time, after it, or when the
+            // outage begins.
+            for (ms_before_refusal, ms_after_refusal) in
+                [(100, 0), (0, 0), (0, 100), (0, outage_delay)]
+            {
+                for (peers_reachable, leader_restarts) in
+                    [(true, false), (false, false), (true, true)]
+                {
                     let mut cluster = cluster_with_two_services();
                     cluster.run(3_000);
                     let leader = cluster.leader().unwrap();
-                    if early > 0 {
+                    if ms_before_refusal > 0 {
                         cluster.cancel("run-1");
-                        cluster.run(early);
+                        cluster.run(ms_before_refusal);
                     }
                     cluster.faults.store_refuses.insert(leader);
-                    if !peers {
+                    if !peers_reachable {
                         cluster.faults.nodes_without_peers.insert(leader);
                     }
-                    cluster.run(late);
-                    if early == 0 {
+                    cluster.run(ms_after_refusal);
+                    if ms_before_refusal == 0 {
                         cluster.cancel("run-1");
                     }
-                    cluster.run(gap - late);
+                    cluster.run(outage_delay - ms_after_refusal);
                     cluster.faults.store_unavailable = true;
-                    if restarted {
+                    if leader_restarts {
                         cluster.restart(leader, 700);
                     }
                     cluster.run(outage);
@@ -49,22 +55,22 @@
     }
 }
 
-/// Guards against leases extended for cancelled tasks, and against leadership given up because
-/// records can't be read: leaders change while the records can't be listed for longer than the
-/// limit of a cancellation, and workers send heartbeats all the while.
+/// Guards against leaders that extend leases for cancelled tasks, or give up leadership, because
+/// they can't read the records: leaders change while the records can't be listed for longer than
+/// the time limit of a cancellation, and workers keep sending heartbeats.
 #[test]
 fn leaders_without_readable_records_stop_only_cancelled_tasks() {
-    for every in [12_000, 60_000] {
+    for crash_interval in [12_000, 60_000] {
         let mut cluster = cluster_with_two_services();
         cluster.faults.refuse_record_lists = true;
-        for _ in 0..60_000 / every {
+        for _ in 0..60_000 / crash_interval {
             let leader = cluster.crash_leader();
             if !cluster.cancelled.contains_key("run-1") {
                 cluster.cancel("run-1");
             }
             cluster.run(1_000);
             cluster.start(leader);
-            cluster.run(every - 1_000);
+            cluster.run(crash_interval - 1_000);
         }
         assert_eq!(cluster.running_tasks("run-1"), 0, "{}", cluster.describe());
         assert_eq!((cluster.running_tasks("run-2"), cluster.starts), (4, 8));
@@ -72,8 +78,8 @@
     }
 }
 
-/// An announcement of a peer shortens the time to the stop, although nothing depends on it. The
-/// state service refuses the leader alone.
+/// A peer's announcement makes the leader stop cancelled tasks earlier, although correctness does
+/// not depend on it. The state service refuses only the leader.
 #[test]
 fn announced_cancellation_stops_tasks_of_a_refused_leader_at_once() {
     for announced in [false, true] {
@@ -94,10 +100,11 @@
     }
 }
 
-/// Machines with cancelled tasks hang during an outage, and resume within their lease or after it.
+/// Machines with cancelled tasks hang during an outage, and resume before or after their lease has
+/// expired.
 #[test]
 fn cancelled_tasks_of_machines_hung_in_an_outage_stop_in_time() {
-    for hang in [5_000, 12_000, 30_000] {
+    for hang_time in [5_000, 12_000, 30_000] {
         let mut cluster = cluster_with_two_services();
         let leader = cluster.leader().unwrap();
         cluster.faults.store_refuses.insert(leader);
@@ -106,33 +113,34 @@
         cluster.cancel("run-2");
         cluster.run(700);
         cluster.faults.store_unavailable = true;
-        // A minority of them: a leader without heartbeats from most machines steps down.
+        // Only a minority of the machines hang: a leader without heartbeats from most machines
+        // steps down.
         cluster
             .faults
             .hung_machines
             .extend(cluster.machine_of("run-1"));
-        cluster.run(hang);
+        cluster.run(hang_time);
         cluster.faults.hung_machines.clear();
-        cluster.run(64_000 - hang);
+        cluster.run(64_000 - hang_time);
         assert_eq!(cluster.all_running_tasks(), 0);
         assert_recovers(&mut cluster);
     }
 }
 
-/// Guards against a follower that keeps its zone's workers for longer than it can know of all
-/// cancellations: the zone is partitioned, and the state service refuses its node.
+/// Guards against a follower that keeps its zone's workers for longer than it can be sure to know
+/// all cancellations: the zone is partitioned, and the state service refuses the zone's node.
 #[test]
 fn cancelled_tasks_of_an_isolated_zone_stop_in_time() {
-    for wait in [0, 1_000, 20_000] {
+    for cancellation_delay in [0, 1_000, 20_000] {
         let service = short_job("run-1", JobKind::Service, 3).in_zone("west");
         let mut cluster = cluster_with(vec![service]);
-        assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 3));
+        assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 3));
         move_leadership_east(&mut cluster);
         cluster.faults.zones_partitioned = true;
         cluster.faults.store_refuses.insert(1);
-        // So that the leader can't return the machines without heartbeats.
+        // Without the cloud, the leader can't return the machines that send it no heartbeats.
         cluster.faults.cloud_unavailable = true;
-        cluster.run(wait);
+        cluster.run(cancellation_delay);
         cluster.cancel("run-1");
         cluster.run(70_000);
         assert_eq!(cluster.running_tasks("run-1"), 0);
@@ -140,37 +148,37 @@
     }
 }
 
-/// Guards against starts after a confirmed cancellation: it becomes durable just before the round
-/// does.
+/// Guards against starts after a confirmed cancellation: the cancellation becomes durable just
+/// before the round would.
 #[test]
 fn cancellation_racing_with_a_round_fails_the_round() {
-    for after in (0..120).step_by(7) {
+    for cancellation_delay in (0..120).step_by(7) {
         let mut cluster = cluster_with_two_services();
         cluster.cancel("run-1");
         cluster.run(12_000);
         cluster.faults.store_delay = 60;
         cluster.submit(short_job("run-3", JobKind::Array, 2));
-        cluster.run(after);
+        cluster.run(cancellation_delay);
         cluster.cancel("run-3");
         assert_recovers(&mut cluster);
         assert_eq!(cluster.running_tasks("run-3"), 0);
     }
 }
 
-/// Guards against a job that is both done and cancelled: it is cancelled at every moment around the
-/// completion of its last task.
+/// Guards against a job that is both done and cancelled: the job is cancelled at various times
+/// around the completion of its last task.
 #[test]
 fn cancellation_racing_with_completion_leaves_one_final_state() {
     let mut outcomes = BTreeSet::new();
     for kind in [JobKind::Array, JobKind::Gang] {
-        let ended = |w: &SimulatedCluster| w.completed_tasks.len() >= 2;
+        let tasks_completed = |cluster: &SimulatedCluster| cluster.completed_tasks.len() >= 2;
         let mut cluster = cluster_with(vec![short_job("run-1", kind, 2)]);
-        assert!(cluster.run_until(60_000, ended));
-        let end = cluster.now;
-        for at in (end - 500..end + 3_500).step_by(97) {
+        assert!(cluster.run_until(60_000, tasks_completed));
+        let completed_at = cluster.now;
+        for cancelled_at in (completed_at - 500..completed_at + 3_500).step_by(97) {
             let mut cluster = cluster_with(vec![short_job("run-1", kind, 2)]);
             cluster.faults.store_delay = 40;
-            cluster.run(at - cluster.now);
+            cluster.run(cancelled_at - cluster.now);
             if cluster.has_live_record("run-1") {
                 cluster.cancel("run-1");
             }
--- a/src/engine/tests/combined_faults/late_messages.rs
+++ b/src/engine/tests/combined_faults/late_messages.rs
@@ -4,34 +4,34 @@
 use super::assert_recovers;
 use crate::wire::user::JobKind;
 
-/// Guards against an older record of an array's progress that is written over a newer one.
+/// Guards against an older progress record of an array that overwrites a newer one.
 #[test]
 fn late_progress_record_loses_no_completion() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Array, 4)]);
-    for (task, longer) in [(1, 4_000), (2, 8_000), (3, 60_000)] {
+    for (task, extra_time) in [(1, 4_000), (2, 8_000), (3, 60_000)] {
         cluster
             .extra_run_time
-            .insert(format!("run-1/{task}"), longer);
+            .insert(format!("run-1/{task}"), extra_time);
     }
     cluster.faults.delay_next_write = Some("work/run-1");
-    assert!(cluster.run_until(60_000, |w| w.completed_tasks.len() == 3));
+    assert!(cluster.run_until(60_000, |cluster| cluster.completed_tasks.len() == 3));
     cluster.run(15_000);
     cluster.crash_leader();
     assert_completes(&mut cluster, "run-1", 120_000);
     assert_eq!(cluster.starts, 4, "completed tasks ran again");
 }
 
-/// The same for a record of a former leader, written over that of its successor.
+/// Guards against a progress record of a former leader that overwrites its successor's record.
 #[test]
 fn late_progress_record_of_a_former_leader_loses_no_completion() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Array, 4)]);
-    for (task, longer) in [(1, 6_000), (2, 7_000), (3, 60_000)] {
+    for (task, extra_time) in [(1, 6_000), (2, 7_000), (3, 60_000)] {
         cluster
             .extra_run_time
-            .insert(format!("run-1/{task}"), longer);
+            .insert(format!("run-1/{task}"), extra_time);
     }
     cluster.faults.delay_next_write = Some("work/run-1");
-    assert!(cluster.run_until(60_000, |w| w.faults.delay_next_write.is_none()));
+    assert!(cluster.run_until(60_000, |cluster| cluster.faults.delay_next_write.is_none()));
     for _ in 0..2 {
         let leader = cluster.leader().unwrap();
         cluster.restart(leader, 15_000);
@@ -40,8 +40,9 @@
     assert_eq!(cluster.starts, 4, "completed tasks ran again");
 }
 
-/// Guards against transactions that rely on being executed in order, or at all: rounds, completions
-/// and elections without a reply are executed late, across failovers.
+/// Guards against transactions that are correct only if they are executed in order, or at all:
+/// rounds, completions and elections whose commit got no reply are executed late, also after a
+/// failover.
 #[test]
 fn late_commits_violate_no_invariant() {
     for delay_commit_every in 2..6 {
@@ -67,8 +68,8 @@
     }
 }
 
-/// Guards against stale heartbeats taken for new: copies arrive seconds to two leases later, after
-/// newer ones, at whichever node leads by then.
+/// Guards against stale heartbeats that are treated as new: copies of heartbeats arrive between
+/// some seconds and two leases late, after newer heartbeats, at the node that leads at that time.
 #[test]
 fn heartbeats_duplicated_across_failovers_change_nothing() {
     for duplicate_heartbeat_every in 1..4 {
@@ -88,38 +89,44 @@
     }
 }
 
-/// Guards against heartbeats that are accepted although they are older than the machine's last, or
-/// than the leader's term: the machine is unreachable, and copies of its heartbeats arrive.
+/// Guards against heartbeats that are accepted although they are older than the machine's last
+/// heartbeat or than the leader's term: the machine is unreachable, and copies of its earlier
+/// heartbeats arrive.
 #[test]
 fn stale_heartbeats_of_an_unreachable_machine_remove_no_task() {
-    for crash in [false, true] {
+    for leader_crashes in [false, true] {
         let mut cluster = cluster_with_two_services();
         let machine = cluster.machine_of("run-1").unwrap();
-        // Those sent before its first task.
+        // Only heartbeats that were sent before the machine's first task are delivered again.
         let mut heartbeats = cluster.heartbeats_of(&machine);
         heartbeats.retain(|heartbeat| heartbeat.tasks.is_empty());
         assert!(heartbeats.len() > 1);
         cluster.run(4_000);
         cluster.faults.unreachable_machines.insert(machine);
-        if crash {
+        if leader_crashes {
             cluster.crash_leader();
         }
         for _ in 0..24 {
             cluster.run(500);
             cluster.redeliver_heartbeats(&heartbeats);
         }
-        assert_eq!(cluster.starts, 8, "crash {crash}: {}", cluster.describe());
+        assert_eq!(
+            cluster.starts,
+            8,
+            "leader crashes: {leader_crashes}\n{}",
+            cluster.describe()
+        );
         assert_eq!(cluster.violations, Vec::<String>::new());
         assert_recovers(&mut cluster);
     }
 }
 
-/// Guards against direct commands that do harm late: a machine hangs and executes them when it
-/// resumes, under another leader.
+/// Guards against direct commands that have wrong effects when executed late: a machine hangs and
+/// executes them when it resumes, also under another leader.
 #[test]
-fn commands_executed_after_a_hang_are_harmless() {
-    for hang in [2_000, 6_000, 14_000, 25_000] {
-        for crash in [false, true] {
+fn direct_commands_executed_after_a_hang_violate_no_invariant() {
+    for hang_time in [2_000, 6_000, 14_000, 25_000] {
+        for leader_crashes in [false, true] {
             let mut cluster = cluster_with_two_services();
             let machine = cluster.machine_of("run-1").unwrap();
             cluster.faults.hung_machines.insert(machine);
@@ -128,16 +135,16 @@
             cluster.submit(short_job("run-3", JobKind::Array, 4));
             cluster.run(500);
             let leader = cluster.leader().unwrap();
-            if crash {
+            if leader_crashes {
                 cluster.crash(leader);
             }
-            cluster.run(hang);
+            cluster.run(hang_time);
             cluster.faults.hung_machines.clear();
             cluster.run(7_000);
             assert_eq!(
                 cluster.running_tasks("run-1"),
                 0,
-                "hung {hang}, crash {crash}"
+                "hung for {hang_time} ms, leader crashes: {leader_crashes}"
             );
             assert_completes(&mut cluster, "run-3", 120_000);
             assert_recovers(&mut cluster);
--- a/src/engine/tests/combined_faults/leader_changes.rs
+++ b/src/engine/tests/combined_faults/leader_changes.rs
@@ -8,14 +8,14 @@
 use crate::constants;
 use crate::wire::user::JobKind;
 
-/// Guards against starts by a leader that can't confirm its lease: its round is durable, its
-/// machine sends a heartbeat only when the state service has refused the leader for longer than the
-/// lease, and the job is cancelled.
+/// Guards against starts that a leader sends although it can't confirm its lease: the round is
+/// durable, and the machine sends its next heartbeat only after the state service has refused the
+/// leader for longer than the lease and the job was cancelled.
 #[test]
 fn leader_with_an_unconfirmed_lease_sends_no_durable_start() {
     let mut cluster = cluster_with_two_services();
     cluster.cancel("run-1");
-    assert!(cluster.run_until(12_000, |w| w.running_tasks("run-1") == 0));
+    assert!(cluster.run_until(12_000, |cluster| cluster.running_tasks("run-1") == 0));
     cluster.run(7_000);
     let leader = cluster.leader().unwrap();
     let machines: Vec<String> = cluster.workers.keys().cloned().collect();
@@ -26,7 +26,7 @@
     assert_eq!(
         cluster.count_keys("rounds/"),
         rounds + 1,
-        "durable, and not yet sent"
+        "the round is durable, and its start is not sent yet"
     );
     cluster.faults.store_refuses.insert(leader);
     cluster.faults.nodes_without_peers.insert(leader);
@@ -40,8 +40,8 @@
     assert_recovers(&mut cluster);
 }
 
-/// Guards against a job whose record has changed, unknown to the leader, and fails the rounds of
-/// other jobs.
+/// Guards against a conflict that makes the rounds of other jobs fail: the record of one job has
+/// changed, and the leader does not know of the change yet.
 #[test]
 fn conflict_on_one_job_does_not_fail_the_rounds_of_others() {
     let mut cluster = cluster_with_two_services();
@@ -50,24 +50,25 @@
     cluster.submit(short_job("run-3", JobKind::Array, 1));
     cluster.cancel("run-1");
     cluster.run(2_000);
-    // There is capacity for both; the leader learns of what follows with its next watch reply.
+    // There is capacity for both jobs. The leader learns of the cancellation below only with its
+    // next watch reply, which is delayed.
     cluster.submit(short_job("run-4", JobKind::Array, 1));
     cluster.submit(short_job("run-5", JobKind::Array, 1));
     cluster.run(20);
     cluster.faults.watch_delay.insert(leader, 2_500);
     cluster.cancel("run-4");
-    assert!(cluster.run_until(2_000, |w| w.started_jobs.contains("run-5")));
+    assert!(cluster.run_until(2_000, |cluster| cluster.started_jobs.contains("run-5")));
     assert_recovers(&mut cluster);
 }
 
-/// Guards against starts that a new leader does not know of because its watch lags: a job whose
-/// record it had not received when it read the rounds is placed already.
+/// Guards against a new leader that places a job a second time because its watch lags: the job is
+/// already placed, but the leader had not received the job's record when it read the rounds.
 #[test]
 fn leader_with_a_lagging_watch_places_no_task_twice() {
-    let mut first = short_job("run-1", JobKind::Service, 6);
-    first.spread_zones = true;
-    let mut cluster = cluster_with(vec![first]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 6));
+    let mut service = short_job("run-1", JobKind::Service, 6);
+    service.spread_zones = true;
+    let mut cluster = cluster_with(vec![service]);
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 6));
     cluster.run(10_000);
     let former_leader = cluster.leader().unwrap();
     let [fast_follower, slow_follower] = followers(&cluster);
@@ -76,7 +77,8 @@
     while cluster.count_keys("live/lead") == 1 {
         cluster.run(1);
     }
-    // It knows that there is no leader, and is a candidate; its later watch replies are late.
+    // The slow follower has learned that there is no leader and is a candidate. Its later watch
+    // replies are delayed.
     cluster.faults.watch_delay.insert(slow_follower, 2_900);
     while cluster.count_keys("live/lead") == 0 {
         cluster.run(1);
@@ -84,18 +86,19 @@
     assert_eq!(cluster.count_keys("live/job/"), 1);
     cluster.submit(short_job("run-2", JobKind::Service, 1));
     redirect_all_workers_to(&mut cluster, fast_follower);
-    assert!(cluster.run_until(1_500, |w| w.started_jobs.contains("run-2")));
-    // It has led for a second; after its restart the state service refuses it.
+    assert!(cluster.run_until(1_500, |cluster| cluster.started_jobs.contains("run-2")));
+    // The fast follower has led for a second. After its restart the state service refuses it.
     cluster.crash(fast_follower);
     cluster.faults.store_refuses.insert(fast_follower);
     cluster.start(fast_follower);
     let machine = cluster.machine_of("run-2").unwrap();
     cluster.faults.unreachable_machines.insert(machine);
-    // Its election is pending; later calls get their reply at once.
+    // The slow follower's election is pending. Its later calls are not delayed.
     cluster.run(2_200);
     cluster.faults.store_call_delay.clear();
-    let leads = |w: &SimulatedCluster| w.engine(slow_follower).unwrap().status().leading;
-    assert!(cluster.run_until(3_000, leads));
+    let is_leader =
+        |cluster: &SimulatedCluster| cluster.engine(slow_follower).unwrap().status().leading;
+    assert!(cluster.run_until(3_000, is_leader));
     redirect_all_workers_to(&mut cluster, slow_follower);
     cluster.run(12_000);
     assert_eq!(
@@ -107,7 +110,8 @@
     assert_recovers(&mut cluster);
 }
 
-/// Guards against completions that are lost, or taken for the whole job's, across failovers.
+/// Guards against completions of tasks that are lost across failovers, or that are mistaken for the
+/// completion of the whole job.
 #[test]
 fn tasks_completing_under_different_leaders_complete_their_job_once() {
     for kind in [JobKind::Array, JobKind::Gang] {
@@ -129,18 +133,21 @@
     }
 }
 
-/// Guards against tasks taken for running, or for lost, after a time without leader longer than a
-/// lease.
+/// Guards against tasks that are considered running, or lost, because there was no leader for
+/// longer than a lease.
 #[test]
 fn all_nodes_down_for_longer_than_a_lease_lose_no_job() {
     for downtime in [18_000, 25_000, 70_000] {
         let mut cluster = cluster_with_two_services();
         cluster.submit(short_job("run-3", JobKind::Array, 2));
-        let cut = cluster.machine_of("run-1").unwrap();
+        let unreachable_machine = cluster.machine_of("run-1").unwrap();
         cluster.crash_all_nodes();
         cluster.run(downtime - 2_000);
-        // It is still unreachable when nodes are up again.
-        cluster.faults.unreachable_machines.insert(cut);
+        // The machine is still unreachable when a node is up again.
+        cluster
+            .faults
+            .unreachable_machines
+            .insert(unreachable_machine);
         cluster.run(2_000);
         cluster.start(0);
         cluster.run(1_000);
@@ -158,21 +165,21 @@
     }
 }
 
-/// Guards against state that lasts only as long as a leader: ten leaders in two minutes, also
-/// during an outage, with jobs submitted and cancelled all the while.
+/// Guards against state that is lost with its leader: there are ten leaders in two minutes, also
+/// during an outage, while jobs are submitted and cancelled.
 #[test]
 fn ten_leaders_in_two_minutes_violate_no_invariant() {
     for outage in [None, Some(2), Some(5)] {
         let mut cluster = cluster_with(vec![short_job("run-0", JobKind::Service, 2)]);
-        assert!(cluster.run_until(60_000, |w| w.running_tasks("run-0") == 2));
-        for round in 1..=10 {
-            cluster.submit(short_job(&format!("run-{round}"), JobKind::Service, 1));
-            let leads = cluster.leader().unwrap_or(round % 3);
+        assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-0") == 2));
+        for iteration in 1..=10 {
+            cluster.submit(short_job(&format!("run-{iteration}"), JobKind::Service, 1));
+            let leader = cluster.leader().unwrap_or(iteration % 3);
             cluster.run(6_000);
-            cluster.cancel(&format!("run-{round}"));
+            cluster.cancel(&format!("run-{iteration}"));
             cluster.faults.store_unavailable =
-                outage.is_some_and(|first| (first..first + 2).contains(&round));
-            cluster.restart(leads, 1_000);
+                outage.is_some_and(|start| (start..start + 2).contains(&iteration));
+            cluster.restart(leader, 1_000);
             cluster.run(5_000);
         }
         assert_recovers(&mut cluster);
@@ -183,8 +190,8 @@
     }
 }
 
-/// Guards against state that a node keeps from a former term: it transfers leadership, leads again,
-/// all nodes crash, and one is back within a second.
+/// Guards against state that a node keeps from a former term: the node transfers leadership and
+/// leads again, then all nodes crash, and the last leader is back within a second.
 #[test]
 fn leadership_transferred_back_and_forth_keeps_state_consistent() {
     for downtime in [50, 400, 950] {
@@ -194,17 +201,20 @@
         for _ in 0..2 {
             let leader = cluster.leader().unwrap();
             cluster.faults.nodes_without_workers = [leader].into();
-            let has_successor =
-                |w: &SimulatedCluster| w.leader().is_some_and(|successor| successor != leader);
+            let has_successor = |cluster: &SimulatedCluster| {
+                cluster
+                    .leader()
+                    .is_some_and(|successor| successor != leader)
+            };
             assert!(cluster.run_until(60_000, has_successor));
             cluster.faults.nodes_without_workers.clear();
             cluster.run(16_000);
         }
         cluster.cancel("run-1");
-        let last = cluster.leader().unwrap();
+        let last_leader = cluster.leader().unwrap();
         cluster.crash_all_nodes();
         cluster.run(downtime);
-        cluster.start(last);
+        cluster.start(last_leader);
         cluster.run(30_000);
         assert_recovers(&mut cluster);
         assert_completes(&mut cluster, "run-3", 60_000);
--- a/src/engine/tests/combined_faults/mod.rs
+++ b/src/engine/tests/combined_faults/mod.rs
@@ -1,4 +1,4 @@
-//! Two faults at once: each test combines them in one way.
+//! Faults that are in effect together: each test covers one combination.
 
 mod cancellations;
 mod late_messages;
@@ -7,14 +7,15 @@
 
 use super::simulated_cluster::SimulatedCluster;
 
-/// All faults end: every open job runs within 90 s, and no invariant was violated.
+/// Ends all faults, and asserts that every open job runs within 90 s and that no invariant was
+/// violated.
 #[track_caller]
 pub(super) fn assert_recovers(cluster: &mut SimulatedCluster) {
     cluster.faults = Default::default();
     cluster.start_all_nodes();
-    let all = cluster.run_until(90_000, |w| w.waiting_jobs().is_empty());
+    let all_placed = cluster.run_until(90_000, |cluster| cluster.waiting_jobs().is_empty());
     assert!(
-        all,
+        all_placed,
         "{:?} wait: {}",
         cluster.waiting_jobs(),
         cluster.describe()
@@ -23,15 +24,19 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// The nodes that do not lead.
+/// Returns the nodes that do not lead.
 pub(super) fn followers(cluster: &SimulatedCluster) -> [usize; 2] {
     let leader = cluster.leader();
     let mut followers = (0..3).filter(|node| Some(*node) != leader);
     [followers.next().unwrap(), followers.next().unwrap()]
 }
 
-/// All workers send a heartbeat to this node at once, whichever they reported to before.
+/// Makes all workers report to this node, whichever node they reported to before, and send it a
+/// heartbeat within 300 ms.
 pub(super) fn redirect_all_workers_to(cluster: &mut SimulatedCluster, node: usize) {
-    cluster.workers.values_mut().for_each(|w| w.node = node);
+    cluster
+        .workers
+        .values_mut()
+        .for_each(|worker| worker.node = node);
     cluster.heartbeat_all_within(300);
 }
