--- a/src/engine/tests/dependencies/blocked_jobs.rs
+++ b/src/engine/tests/dependencies/blocked_jobs.rs
@@ -9,24 +9,30 @@
 use crate::wire::user::{JobKind, Priority};
 use std::time::Duration;
 
-/// The job as the leader knows it.
-fn known_to_leader<'a>(cluster: &'a SimulatedCluster, id: &str) -> Option<&'a Job> {
+/// Returns the job as the leader holds it, or none if there is no leader or it does not have the
+/// job.
+fn job_at_leader<'a>(cluster: &'a SimulatedCluster, id: &str) -> Option<&'a Job> {
     let leader = cluster.leader()?;
     cluster.engine(leader)?.jobs.get(&JobId::from(id))
 }
 
-/// Guards against resources reserved, or machines rented, for a job that can't start.
+/// Guards against resources that are reserved, and machines that are rented, for a job that can't
+/// start.
 #[test]
 fn blocked_job_reserves_no_resources() {
-    let mut first = dependent_job("run-1", JobKind::Array, 1, &[]);
-    first.expected_duration_s = 40.0;
-    let waiting = dependent_job("run-2", JobKind::Array, 8, &["run-1"]);
-    let mut cluster = cluster_with(vec![first, waiting]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
-    assert_eq!(cluster.workers.len(), 1, "no machine is rented for it");
-    // It uses the rest of the team's quota, although the blocked job was submitted first.
-    let other = dependent_job("run-3", JobKind::Gang, 7, &[]).with_priority(Priority::Low);
-    cluster.submit(other);
+    let mut dependency = dependent_job("run-1", JobKind::Array, 1, &[]);
+    dependency.expected_duration_s = 40.0;
+    let blocked = dependent_job("run-2", JobKind::Array, 8, &["run-1"]);
+    let mut cluster = cluster_with(vec![dependency, blocked]);
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
+    assert_eq!(
+        cluster.workers.len(),
+        1,
+        "no machine is rented for the blocked job"
+    );
+    // This job uses the rest of the team's quota, although the blocked job was submitted first.
+    let unblocked = dependent_job("run-3", JobKind::Gang, 7, &[]).with_priority(Priority::Low);
+    cluster.submit(unblocked);
     assert_completes(&mut cluster, "run-3", 60_000);
     assert_completes(&mut cluster, "run-2", 120_000);
 }
@@ -53,7 +59,7 @@
         cluster.submit(job);
     }
     // There is capacity for two tasks, one in each zone.
-    assert!(cluster.run_until(60_000, |w| !w.started_jobs.is_empty()));
+    assert!(cluster.run_until(60_000, |cluster| !cluster.started_jobs.is_empty()));
     assert!(
         cluster.started_jobs.contains("run-1"),
         "{:?}",
@@ -63,7 +69,7 @@
     assert_completes(&mut cluster, "run-3", 120_000);
 }
 
-/// A job that was blocked for long has not starved.
+/// The time for which a job was blocked must not count towards its starvation.
 #[test]
 fn starvation_counts_from_readiness_and_deadline_from_submission() {
     let mut spec = JobSpec::from(&short_job("run-1", JobKind::Array, 1));
@@ -75,58 +81,60 @@
         JobPhase::Open,
         Timestamp::default(),
     );
-    let late = UnixTime::from_millis(1_000).saturating_add(2 * STARVATION_AFTER);
-    assert!(job.is_starving(late));
-    job.ready_at = UnixTime::from_millis(late.as_millis() - 1_000);
-    assert!(!job.is_starving(late));
+    let starvation_time = UnixTime::from_millis(1_000).saturating_add(2 * STARVATION_AFTER);
+    assert!(job.is_starving(starvation_time));
+    job.ready_at = UnixTime::from_millis(starvation_time.as_millis() - 1_000);
+    assert!(!job.is_starving(starvation_time));
     assert_eq!(job.deadline(), UnixTime::from_millis(6_000));
 }
 
-/// Guards against times that start again with a new leader, and against a deadline that is moved by
-/// the wait: the deadline counts from the submission, starvation from when the job could start.
+/// Guards against times that a new leader restarts, and against a deadline that is postponed while
+/// the job is blocked: the deadline counts from the submission, and starvation counts from the time
+/// at which the job became ready.
 #[test]
 fn times_of_a_blocked_job_survive_a_failover() {
-    let first = lasting_job("run-1", JobKind::Array, 1, 60.0);
-    let mut last = dependent_job("run-2", JobKind::Service, 1, &["run-1"]);
-    last.deadline_s = Some(900.0);
-    let mut cluster = cluster_with(vec![first, last]);
-    let submitted = cluster.now;
-    assert!(cluster.run_until(180_000, |w| w.is_done("run-1")));
-    let ended = cluster.now;
-    assert!(cluster.run_until(5_000, |w| known_to_leader(w, "run-2").is_some()));
-    for change_of_leader in [false, true] {
-        if change_of_leader {
+    let dependency = lasting_job("run-1", JobKind::Array, 1, 60.0);
+    let mut dependent = dependent_job("run-2", JobKind::Service, 1, &["run-1"]);
+    dependent.deadline_s = Some(900.0);
+    let mut cluster = cluster_with(vec![dependency, dependent]);
+    let submitted_at = cluster.now;
+    assert!(cluster.run_until(180_000, |cluster| cluster.is_done("run-1")));
+    let dependency_done_at = cluster.now;
+    assert!(cluster.run_until(5_000, |cluster| job_at_leader(cluster, "run-2").is_some()));
+    for after_failover in [false, true] {
+        if after_failover {
             let leader = cluster.crash_leader();
             cluster.run(6_000);
-            // The other nodes know the blocked job; this one reads its record anew.
+            // The other nodes hold the blocked job in memory; the former leader has to read its
+            // record again.
             for node in (0..3).filter(|node| *node != leader) {
                 cluster.crash(node);
             }
             cluster.start(leader);
-            assert!(cluster.run_until(20_000, |w| known_to_leader(w, "run-2").is_some()));
+            assert!(cluster.run_until(20_000, |cluster| job_at_leader(cluster, "run-2").is_some()));
         }
-        let job = known_to_leader(&cluster, "run-2").unwrap();
-        assert_eq!(job.submitted_at.as_millis(), submitted);
-        assert_eq!(job.deadline().as_millis(), submitted + 900_000);
-        let told_of_the_end = ended - 1_000..ended + 2_000;
-        let ready = job.ready_at.as_millis();
+        let job = job_at_leader(&cluster, "run-2").unwrap();
+        assert_eq!(job.submitted_at.as_millis(), submitted_at);
+        assert_eq!(job.deadline().as_millis(), submitted_at + 900_000);
+        let expected_ready_ms = dependency_done_at - 1_000..dependency_done_at + 2_000;
+        let ready_ms = job.ready_at.as_millis();
         assert!(
-            told_of_the_end.contains(&ready),
-            "ready at {ready}, ended at {ended}"
+            expected_ready_ms.contains(&ready_ms),
+            "ready at {ready_ms}, dependency done at {dependency_done_at}"
         );
     }
 }
 
-/// Guards against a guarantee used by a job that can't start: of two jobs that would use it up, the
-/// later one that is not blocked gets it.
+/// Guards against a team's guarantee that is used by a job that can't start: each of two jobs would
+/// use it up, and the later one, which is not blocked, must get it.
 #[test]
 fn blocked_job_uses_no_team_guarantee() {
-    let first = lasting_job("run-1", JobKind::Array, 1, 300.0);
-    let waiting = dependent_job("run-2", JobKind::Array, 3, &["run-1"]);
-    let mut cluster = cluster_with(vec![first, waiting]);
+    let dependency = lasting_job("run-1", JobKind::Array, 1, 300.0);
+    let blocked = dependent_job("run-2", JobKind::Array, 3, &["run-1"]);
+    let mut cluster = cluster_with(vec![dependency, blocked]);
     cluster.run(100);
     cluster.submit(short_job("run-3", JobKind::Array, 3));
-    assert!(cluster.run_until(10_000, |w| known_to_leader(w, "run-3").is_some()));
+    assert!(cluster.run_until(10_000, |cluster| job_at_leader(cluster, "run-3").is_some()));
     let leader = cluster.leader().unwrap();
     let within_guarantee = cluster.engine(leader).unwrap().jobs_within_guarantee();
     let within_guarantee: Vec<&str> = within_guarantee.iter().map(|id| &*id.0).collect();
--- a/src/engine/tests/dependencies/cancellation.rs
+++ b/src/engine/tests/dependencies/cancellation.rs
@@ -5,22 +5,22 @@
 use super::job_chain;
 use crate::wire::user::{JobKind, JobState};
 
-/// The state of a blocked job that each node gives.
+/// Returns the state of a blocked job that each node reports.
 fn blocked_job_states(cluster: &mut SimulatedCluster, id: &str) -> Vec<Option<JobState>> {
     (0..3)
         .map(|node| cluster.blocked_job_state(node, id))
         .collect()
 }
 
-/// Guards against a dependent whose cancellation needs a second write: none is possible for longer
-/// than the limit of a cancellation, and no node may report it queued during the outage or after
-/// it.
+/// Guards against dependents whose cancellation needs a second write: no write is possible for
+/// longer than the time limit of a cancellation, and no node may report a dependent as queued
+/// during the outage or after it.
 #[test]
 fn cancellation_propagates_to_dependents_during_an_outage() {
     let mut jobs = job_chain();
     jobs[0].expected_duration_s = 300.0;
     let mut cluster = cluster_with(jobs);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 2));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 2));
     assert_eq!(
         blocked_job_states(&mut cluster, "run-4"),
         [Some(JobState::Queued); 3]
@@ -37,27 +37,29 @@
     cluster.faults.store_unavailable = false;
     cluster.run(3_000);
     for id in ["run-2", "run-3", "run-4"] {
-        assert!(cluster.run_until(5_000, |w| w.final_state(id) == Some(JobState::Cancelled)));
+        assert!(cluster.run_until(5_000, |cluster| cluster.final_state(id)
+            == Some(JobState::Cancelled)));
     }
     cluster.run(5_000);
     assert_eq!((cluster.count_keys("live/job/"), cluster.starts), (0, 2));
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against a reply older than that of another node: each node asks the state service for
-/// changes newer than the query, and no leader writes the final records of the dependents.
+/// Guards against a reply that is older than that of another node: each node must ask the state
+/// service for changes newer than the query. No leader is there to write the final records of the
+/// dependents.
 #[test]
 fn all_nodes_report_a_dependents_cancellation_consistently() {
     let mut jobs = job_chain();
     jobs[0].expected_duration_s = 300.0;
     let mut cluster = cluster_with(jobs);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 2));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 2));
     let leader = cluster.crash_leader();
-    let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
-    cluster.faults.watch_delay.insert(others[1], 900);
+    let followers: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
+    cluster.faults.watch_delay.insert(followers[1], 900);
     cluster.run(1_000);
     cluster.cancel("run-1");
-    for node in others {
+    for node in followers {
         for id in ["run-2", "run-4"] {
             assert_eq!(
                 cluster.blocked_job_state(node, id),
@@ -68,31 +70,33 @@
     assert_eq!(
         cluster.final_state("run-2"),
         None,
-        "the cancelled job's record alone decides"
+        "only the cancelled job's record decides"
     );
 }
 
-/// Jobs depend on a cancelled one whose live record is gone, with a node that has just restarted.
+/// Jobs that depend on a cancelled job must be cancelled although its live record is deleted, also
+/// with a node that has just restarted.
 #[test]
-fn job_depending_on_a_cancelled_one_is_cancelled() {
+fn jobs_depending_on_a_cancelled_job_are_cancelled() {
     let mut cluster = cluster_with(vec![dependent_job("run-1", JobKind::Service, 1, &[])]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     cluster.cancel("run-1");
-    assert!(cluster.run_until(20_000, |w| w.count_keys("live/job/") == 0));
+    assert!(cluster.run_until(20_000, |cluster| cluster.count_keys("live/job/") == 0));
     cluster.submit(dependent_job("run-2", JobKind::Array, 1, &["run-1"]));
     cluster.submit(dependent_job("run-3", JobKind::Array, 1, &["run-2"]));
     let leader = cluster.leader().unwrap();
     cluster.crash((leader + 1) % 3);
     cluster.start((leader + 1) % 3);
     for id in ["run-2", "run-3"] {
-        assert!(cluster.run_until(10_000, |w| w.final_state(id) == Some(JobState::Cancelled)));
+        assert!(cluster.run_until(10_000, |cluster| cluster.final_state(id)
+            == Some(JobState::Cancelled)));
     }
     cluster.run(2_000);
     assert_eq!((cluster.count_keys("live/job/"), cluster.starts), (0, 1));
 }
 
 /// Guards against a cancellation that propagates backwards: the dependencies of the cancelled job,
-/// and other dependents of theirs, go on.
+/// and other dependents of these dependencies, must continue.
 #[test]
 fn cancelling_a_blocked_job_does_not_affect_its_dependencies() {
     let mut cluster = cluster_with(vec![
@@ -101,7 +105,7 @@
         dependent_job("run-3", JobKind::Array, 1, &["run-2"]),
         dependent_job("run-4", JobKind::Array, 1, &["run-1"]),
     ]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 2));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 2));
     cluster.cancel("run-2");
     assert_completes(&mut cluster, "run-4", 120_000);
     assert!(cluster.is_done("run-1"));
@@ -111,7 +115,7 @@
     assert_eq!(cluster.starts, 3);
 }
 
-/// Guards against a job that is released after its cancellation: the write that releases it is
+/// Guards against a job that is released after its cancellation: the write that releases the job is
 /// executed 12 s late.
 #[test]
 fn late_release_of_a_blocked_job_does_not_undo_its_cancellation() {
@@ -119,9 +123,9 @@
         short_job("run-1", JobKind::Array, 1),
         dependent_job("run-2", JobKind::Array, 1, &["run-1"]),
     ]);
-    assert!(cluster.run_until(60_000, |w| w.running_tasks("run-1") == 1));
+    assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     cluster.faults.delay_next_write = Some("live/job/run-2");
-    assert!(cluster.run_until(60_000, |w| w.faults.delay_next_write.is_none()));
+    assert!(cluster.run_until(60_000, |cluster| cluster.faults.delay_next_write.is_none()));
     cluster.cancel("run-2");
     cluster.run(30_000);
     assert_eq!(cluster.final_state("run-2"), Some(JobState::Cancelled));
--- a/src/engine/tests/dependencies/chains.rs
+++ b/src/engine/tests/dependencies/chains.rs
@@ -1,12 +1,13 @@
-//! Chains and wide graphs of dependencies, to their end.
+//! Chains and wide graphs of dependencies that run to completion.
 
 use super::super::support::{assert_completes, cluster_with, dependent_job, short_job};
 use super::job_chain;
 use crate::wire::user::{JobKind, JobState};
 use std::collections::BTreeSet;
 
-/// Guards against a job started from what a leader remembers: the leader crashes at any step of a
-/// round, and of the write that releases the next job, which may also be executed late.
+/// Guards against a job that a leader starts because of its memory instead of durable records: the
+/// leader crashes at any step of a round, or of the write that releases the next job, which may
+/// also be executed late.
 #[test]
 fn dependency_chain_runs_in_order_across_failovers() {
     for delay_commit_every in [0, 3] {
@@ -26,48 +27,56 @@
     }
 }
 
-/// A job's completion races with its cancellation: one of them is durable, and decides about the
-/// dependents.
+/// A job's completion races with its cancellation. Only one of them becomes durable, and it must
+/// decide whether the dependents run.
 #[test]
-fn completion_or_cancellation_decides_about_dependents() {
+fn durable_completion_or_cancellation_decides_whether_dependents_run() {
     let mut outcomes = BTreeSet::new();
-    let mut first = cluster_with(job_chain());
-    assert!(first.run_until(60_000, |w| w.completed_tasks.len() == 2));
-    for at in (first.now - 400..first.now + 4_000).step_by(173) {
+    let mut uncancelled = cluster_with(job_chain());
+    assert!(uncancelled.run_until(60_000, |cluster| cluster.completed_tasks.len() == 2));
+    for cancelled_at in (uncancelled.now - 400..uncancelled.now + 4_000).step_by(173) {
         let mut cluster = cluster_with(job_chain());
         cluster.faults.store_delay = 40;
-        cluster.run(at - cluster.now);
-        let open = cluster.has_live_record("run-1");
-        if open {
+        cluster.run(cancelled_at - cluster.now);
+        let is_cancelled = cluster.has_live_record("run-1");
+        if is_cancelled {
             cluster.cancel("run-1");
         }
-        let state = if open {
+        let state = if is_cancelled {
             JobState::Cancelled
         } else {
             JobState::Done
         };
-        outcomes.insert(open);
-        assert!(cluster.run_until(120_000, |w| w.final_state("run-4") == Some(state)));
+        outcomes.insert(is_cancelled);
+        assert!(
+            cluster.run_until(120_000, |cluster| cluster.final_state("run-4")
+                == Some(state))
+        );
         assert_eq!(cluster.final_state("run-1"), Some(state));
         assert_eq!(cluster.violations, Vec::<String>::new());
-        assert_eq!(cluster.starts == 2, open);
+        assert_eq!(cluster.starts == 2, is_cancelled);
     }
     assert_eq!(outcomes.len(), 2, "both outcomes occurred");
 }
 
-/// Many jobs depend on one, one on many, and many on each other in a row.
+/// Many jobs depend on one job, one job depends on many, and many jobs form a chain.
 #[test]
 fn wide_and_long_dependency_graphs_complete() {
     let mut cluster = cluster_with(vec![dependent_job("run-0", JobKind::Array, 1, &[])]);
-    let name = |number: usize| format!("run-{number}");
+    let job_id = |number: usize| format!("run-{number}");
     for number in 1..40 {
-        cluster.submit(dependent_job(&name(number), JobKind::Array, 1, &["run-0"]));
+        cluster.submit(dependent_job(
+            &job_id(number),
+            JobKind::Array,
+            1,
+            &["run-0"],
+        ));
     }
-    let fan: Vec<String> = (1..40).map(name).collect();
-    let fan: Vec<&str> = fan.iter().map(|id| &**id).collect();
-    cluster.submit(dependent_job("run-100", JobKind::Array, 1, &fan));
+    let middle_jobs: Vec<String> = (1..40).map(job_id).collect();
+    let middle_jobs: Vec<&str> = middle_jobs.iter().map(|id| &**id).collect();
+    cluster.submit(dependent_job("run-100", JobKind::Array, 1, &middle_jobs));
     for number in 101..160 {
-        let mut job = dependent_job(&name(number), JobKind::Array, 1, &[&*name(number - 1)]);
+        let mut job = dependent_job(&job_id(number), JobKind::Array, 1, &[&*job_id(number - 1)]);
         job.expected_duration_s = 1.0;
         cluster.submit(job);
     }
@@ -80,8 +89,8 @@
     assert_eq!(cluster.starts, 100);
 }
 
-/// A user submits the last job of a graph when the others have completed: no node knows these any
-/// more, and nodes that have restarted never did.
+/// A user submits the last job of a graph after the others have completed. No node holds these jobs
+/// in memory anymore, and nodes that have restarted never held them.
 #[test]
 fn job_depending_on_long_completed_jobs_starts() {
     let mut cluster = cluster_with(vec![
@@ -96,7 +105,7 @@
     cluster.crash_all_nodes();
     cluster.run(6_000);
     cluster.start_all_nodes();
-    assert!(cluster.run_until(20_000, |w| w.leader().is_some()));
+    assert!(cluster.run_until(20_000, |cluster| cluster.leader().is_some()));
     cluster.submit(dependent_job(
         "run-3",
         JobKind::Array,
--- a/src/engine/tests/dependencies/event_orders.rs
+++ b/src/engine/tests/dependencies/event_orders.rs
@@ -1,5 +1,5 @@
-//! A job's completion, its cancellation, the submission of its dependents, and status queries about them,
-//! in every order.
+//! All orders of a job's completion, its cancellation, the submission of its dependents, and a
+//! status query about them.
 
 use super::super::simulated_cluster::{Millis, SimulatedCluster};
 use super::super::support::{assert_completes, dependent_job, short_job};
@@ -12,12 +12,12 @@
 use rand::rngs::SmallRng;
 use std::collections::BTreeSet;
 
-/// An array of one task that depends on another job.
+/// Returns an array of one task that depends on another job.
 pub(super) fn dependent_on(id: &str, dependency: &str) -> JobSubmission {
     dependent_job(id, JobKind::Array, 1, &[dependency])
 }
 
-/// What happens to the jobs.
+/// An event that concerns the root or its dependents.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum JobEvent {
     Completion,
@@ -26,7 +26,7 @@
     Query,
 }
 
-/// All orders of the four events.
+/// Returns all orders of the four events.
 fn event_orders() -> Vec<Vec<JobEvent>> {
     use JobEvent::{Cancellation, Completion, Query, Submission};
     let mut orders = vec![Vec::new()];
@@ -44,7 +44,8 @@
     orders
 }
 
-/// The production version leads, on node 1: it is simulated by what it writes.
+/// Returns a cluster in which the production version leads on node 1. It is simulated by the
+/// records that it writes.
 fn cluster_led_by_production_version() -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(3, 8.0);
     cluster.crash_all_nodes();
@@ -62,7 +63,7 @@
     cluster
 }
 
-fn complete_as_production_does(cluster: &mut SimulatedCluster) {
+fn commit_completion_as_production_version(cluster: &mut SimulatedCluster) {
     cluster.completed_tasks.insert(format!("{ROOT}/0"));
     let transaction = Transaction::default()
         .put(records::final_key(ROOT), production!("final_done"))
@@ -70,7 +71,7 @@
     cluster.commit_externally(&transaction);
 }
 
-fn cancel_as_production_does(cluster: &mut SimulatedCluster) {
+fn commit_cancellation_as_production_version(cluster: &mut SimulatedCluster) {
     let transaction = Transaction::default()
         .put(records::job_key(ROOT), production!("cancelled"))
         .put(records::final_key(ROOT), production!("final_aborted"));
@@ -81,7 +82,7 @@
 /// Nodes of the version under test while node 1 runs the production version.
 const QUERIED_NODES: [usize; 2] = [0, 2];
 
-/// The dependents are submitted.
+/// Submits the dependents, and records the time of the submission.
 pub(super) fn submit_dependents(cluster: &mut SimulatedCluster, times: &mut EventTimes) {
     cluster.submit(dependent_on(MIDDLE, ROOT));
     cluster.submit(dependent_on(LEAF, MIDDLE));
@@ -91,25 +92,25 @@
 /// What happens to the root's live record after its cancellation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum LiveRecord {
-    /// It stays until the leader ends.
+    /// The record stays until the leader ends.
     Kept,
-    /// The leader deletes it.
+    /// The leader deletes the record.
     Deleted,
 }
 
-/// One case of [`completion_cancellation_submission_and_query_in_every_order`].
+/// One case of [`events_in_every_order_give_consistent_answers`].
 #[derive(Debug)]
 struct OrderCase<'a> {
     order: &'a [JobEvent],
     seed: u64,
-    /// Between two events.
+    /// Time between two events.
     gap: Millis,
     max_jitter: Millis,
     queried_node: usize,
     live_record: LiveRecord,
 }
 
-/// A case while it is played.
+/// The state of a running case.
 struct OrderRun {
     cluster: SimulatedCluster,
     queries: StatusQueries,
@@ -117,8 +118,8 @@
 }
 
 impl OrderRun {
-    /// Plays a case up to the time when all is settled.
-    fn play(case: &OrderCase) -> OrderRun {
+    /// Runs a case until its events have taken effect at all nodes.
+    fn run_case(case: &OrderCase) -> OrderRun {
         let mut run = OrderRun {
             cluster: cluster_led_by_production_version(),
             queries: StatusQueries::default(),
@@ -147,14 +148,14 @@
             .ask_repeatedly(cluster, QUERIED_NODES, times, pause);
     }
 
-    /// Applies an event; a completion or cancellation after the other one changes nothing.
+    /// Applies an event. A completion after a cancellation changes nothing, and vice versa.
     fn apply_event(&mut self, event: JobEvent, queried_node: usize) {
         let cluster = &mut self.cluster;
         let open = cluster.has_live_record(ROOT) && self.times.cancelled.is_none();
         match event {
-            JobEvent::Completion if open => complete_as_production_does(cluster),
+            JobEvent::Completion if open => commit_completion_as_production_version(cluster),
             JobEvent::Cancellation if open => {
-                cancel_as_production_does(cluster);
+                commit_cancellation_as_production_version(cluster);
                 self.times.cancelled = Some(cluster.now);
             }
             JobEvent::Submission => submit_dependents(cluster, &mut self.times),
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Checks all answers, and what becomes of the dependents in the end.
+    /// Checks all answers to status queries, and the final outcome of the dependents.
     fn check(&mut self, context: &str) {
         self.queries.check(&self.times, context);
         for node in QUERIED_NODES {
@@ -186,12 +187,12 @@
     }
 }
 
-/// Guards against an order of the four events in which one of two nodes reports a job queued that
-/// will never run, or cancelled although it will. The production version leads, completes the root or
-/// deletes its record after the cancellation, and writes nothing of the dependents; then it ends, and
-/// the version under test leads and writes their final records.
+/// Guards against an order of the four events in which one of two nodes reports a job as queued
+/// that will never run, or as cancelled although it will run. The production version leads,
+/// completes the root or deletes its record after the cancellation, and writes no records of the
+/// dependents. Then it ends, and the version under test leads and writes their final records.
 #[test]
-fn completion_cancellation_submission_and_query_in_every_order() {
+fn events_in_every_order_give_consistent_answers() {
     let mut outcomes = BTreeSet::new();
     for (seed, order) in (0..).zip(event_orders()) {
         for (gap, max_jitter) in [(0, 0), (20, 0), (700, 0), (0, 300), (150, 300)] {
@@ -209,7 +210,7 @@
                     queried_node,
                     live_record,
                 };
-                let mut run = OrderRun::play(&case);
+                let mut run = OrderRun::run_case(&case);
                 run.check(&format!("{case:?}"));
                 outcomes.insert(run.times.cancelled.is_some());
             }
--- a/src/engine/tests/dependencies/mod.rs
+++ b/src/engine/tests/dependencies/mod.rs
@@ -1,5 +1,5 @@
-//! Jobs that depend on others. The simulated cluster records a violation if one starts before its
-//! dependencies are done.
+//! Jobs that depend on other jobs. The simulated cluster records a violation if a job starts before
+//! its dependencies are done.
 
 mod blocked_jobs;
 mod cancellation;
@@ -13,7 +13,7 @@
 use super::support::dependent_job;
 use crate::wire::user::{JobKind, JobSubmission};
 
-/// A record as the production version wrote it.
+/// Decodes a record that the production version wrote.
 macro_rules! production {
     ($name:literal) => {
         rmp_serde::from_slice(include_bytes!(concat!(
@@ -26,7 +26,7 @@
 }
 pub(super) use production;
 
-/// Four jobs that depend on each other in a row, of each kind that ends.
+/// Returns a chain of four jobs that depend on earlier ones, with both kinds of jobs that complete.
 pub(super) fn job_chain() -> Vec<JobSubmission> {
     vec![
         dependent_job("run-1", JobKind::Array, 2, &[]),
--- a/src/engine/tests/dependencies/status_queries.rs
+++ b/src/engine/tests/dependencies/status_queries.rs
@@ -1,31 +1,31 @@
-//! Status queries about a blocked job, answered as the API does from records and the engine's reply.
+//! Status queries about a blocked job, answered as by the API from records and the engine's reply.
 
 use super::super::simulated_cluster::{Millis, SimulatedCluster};
 use crate::engine::{Reply, ReplyId};
 use crate::wire::user::JobState;
 
-/// The job of the production version's records: a gang of two.
+/// The job in the production version's records: a gang of two tasks.
 pub(super) const ROOT: &str = "run-7";
-/// Depends on the root, and is cancelled with it.
+/// The job that depends on the root and is cancelled with it.
 pub(super) const MIDDLE: &str = "run-8";
-/// Depends on the root through the middle: the job that is queried.
+/// The job that depends on the root through the middle job, and about which the nodes are queried.
 pub(super) const LEAF: &str = "run-9";
 
-/// How often pending replies are looked for.
+/// Interval at which pending queries are checked for replies.
 const POLL_INTERVAL: Millis = 5;
 
-/// What a user may be told of a job.
+/// The answer to a user's status query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum StatusAnswer {
-    /// 404.
+    /// 404: the job was never accepted.
     NeverAccepted,
-    /// A prompt 503.
+    /// 503, returned without delay: the state can't be determined.
     Unavailable,
     /// The job's state.
     State(JobState),
 }
 
-/// The job is cancelled.
+/// The answer for a cancelled job.
 pub(super) const CANCELLED: StatusAnswer = StatusAnswer::State(JobState::Cancelled);
 
 /// A query that has been answered.
@@ -34,11 +34,11 @@
     node: usize,
     asked_at: Millis,
     answered_at: Millis,
-    /// What the user was told.
+    /// The answer that the user received.
     pub(super) answer: StatusAnswer,
 }
 
-/// A query whose answer needs the engine's reply.
+/// A query whose answer depends on a reply of the engine that is still to come.
 #[derive(Debug)]
 struct PendingQuery {
     node: usize,
@@ -47,7 +47,7 @@
 }
 
 impl PendingQuery {
-    fn answered(&self, answer: StatusAnswer, now: Millis) -> AnsweredQuery {
+    fn with_answer(&self, answer: StatusAnswer, now: Millis) -> AnsweredQuery {
         AnsweredQuery {
             node: self.node,
             asked_at: self.asked_at,
@@ -57,7 +57,7 @@
     }
 }
 
-/// When what decides about the queried job became durable.
+/// The times at which the events that decide about the queried job became durable.
 #[derive(Debug, Default)]
 pub(super) struct EventTimes {
     /// The submission of the dependents.
@@ -66,16 +66,16 @@
     pub(super) cancelled: Option<Millis>,
 }
 
-/// What nodes were asked about [`LEAF`].
+/// The queries to nodes about [`LEAF`].
 #[derive(Debug, Default)]
 pub(super) struct StatusQueries {
     pending: Vec<PendingQuery>,
-    /// Answered queries, in the order of their answers.
+    /// Answered queries in the order of their answers.
     pub(super) answered: Vec<AnsweredQuery>,
 }
 
 impl StatusQueries {
-    /// Asks a node.
+    /// Sends a query to a node.
     pub(super) fn ask(&mut self, cluster: &mut SimulatedCluster, node: usize) {
         let asked_at = cluster.now;
         match state_from_records(cluster) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Lets that time pass, and collects the replies that come.
+    /// Runs the cluster for that time, and collects the replies that arrive.
     pub(super) fn run(&mut self, cluster: &mut SimulatedCluster, duration: Millis) {
         let end = cluster.now + duration;
         loop {
@@ -111,13 +111,13 @@
             let Some(reply) = cluster.take_reply(query.reply) else {
                 return true;
             };
-            let answer = answer_of(&reply, cluster);
-            answered.push(query.answered(answer, cluster.now));
+            let answer = answer_from_reply(&reply, cluster);
+            answered.push(query.with_answer(answer, cluster.now));
             false
         });
     }
 
-    /// Asks both nodes several times.
+    /// Sends queries to both nodes several times, with a pause after each time.
     pub(super) fn ask_repeatedly(
         &mut self,
         cluster: &mut SimulatedCluster,
@@ -133,12 +133,12 @@
         }
     }
 
-    /// Checks that no answer contradicts what was durable before its query, or an earlier answer.
+    /// Asserts that no answer contradicts what was durable before its query, or an earlier answer.
     pub(super) fn check(&self, times: &EventTimes, context: &str) {
         for query in &self.answered {
             query.check_times(times, context);
-            let earlier = self.answered.iter();
-            for earlier in earlier.filter(|it| it.answered_at <= query.asked_at) {
+            let answered = self.answered.iter();
+            for earlier in answered.filter(|earlier| earlier.answered_at <= query.asked_at) {
                 let reverted = earlier.answer == CANCELLED && query.answer != CANCELLED;
                 assert!(
                     query.is_unavailable() || !reverted,
@@ -154,7 +154,7 @@
         self.answer == StatusAnswer::Unavailable
     }
 
-    /// Checks the answer against what was durable when the node was asked.
+    /// Asserts that the answer is consistent with what was durable when the node was queried.
     fn check_times(&self, times: &EventTimes, context: &str) {
         let after = |time: Option<Millis>| time.is_some_and(|time| self.asked_at > time);
         if after(times.submitted) {
@@ -178,7 +178,7 @@
     }
 }
 
-fn answer_of(reply: &Reply, cluster: &SimulatedCluster) -> StatusAnswer {
+fn answer_from_reply(reply: &Reply, cluster: &SimulatedCluster) -> StatusAnswer {
     match reply {
         Reply::BlockedJobState(Some(state)) => StatusAnswer::State(*state),
         Reply::BlockedJobState(None) => {
@@ -188,7 +188,7 @@
     }
 }
 
-/// What the records alone tell; none if the engine has to be asked.
+/// Returns the answer that the records alone determine, or none if the engine has to be asked.
 fn state_from_records(cluster: &SimulatedCluster) -> Option<StatusAnswer> {
     let Some(record) = cluster.live_record(LEAF) else {
         let state = cluster.final_state(LEAF);
--- a/src/engine/tests/dependencies/upcoming_limits.rs
+++ b/src/engine/tests/dependencies/upcoming_limits.rs
@@ -1,17 +1,18 @@
-//! Upcoming limits of the state service.
+//! Upcoming limits of the state service that take effect while jobs are in progress.
 
 use super::super::simulated_cluster::SimulatedCluster;
 use super::super::support::{assert_completes, short_job};
 use super::job_chain;
 use crate::wire::user::JobKind;
 
-/// The upcoming limits take effect at some moment: whatever is in progress then, no later
-/// transaction exceeds them. Records of jobs accepted before are larger than they allow.
+/// The upcoming limits take effect at various times. Whatever is in progress then, no later
+/// transaction may exceed them, although the records of jobs that were accepted before are larger
+/// than the limits allow.
 #[test]
-fn upcoming_limits_are_kept_from_any_moment_on() {
-    let next = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0";
-    for at in (500..40_000).step_by(3_100) {
-        let mut cluster = SimulatedCluster::with_upcoming_limits(3, 64.0, next);
+fn no_transaction_exceeds_upcoming_limits_once_in_effect() {
+    let upcoming_limits = "[cluster.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0";
+    for effective_after in (500..40_000).step_by(3_100) {
+        let mut cluster = SimulatedCluster::with_upcoming_limits(3, 64.0, upcoming_limits);
         let mut large = short_job("run-9", JobKind::Service, 1);
         large.machine_types = Some(vec!["g8".into(), "x".repeat(2_000)]);
         cluster.submit(large);
@@ -21,11 +22,11 @@
         }
         cluster.submit(short_job("run-5", JobKind::Gang, 40));
         cluster.submit(short_job("run-6", JobKind::Array, 20));
-        // These complete together.
+        // These jobs complete at the same time.
         for number in 20..32 {
             cluster.submit(short_job(&format!("run-{number}"), JobKind::Array, 1));
         }
-        cluster.run(at);
+        cluster.run(effective_after);
         (cluster.max_mutations, cluster.max_value_bytes) = (4, 2 * 1024);
         let leader = cluster.leader().unwrap();
         cluster.restart(leader, 1_000);
@@ -34,6 +35,6 @@
         }
         assert_eq!(cluster.running_tasks("run-9"), 1);
         cluster.cancel("run-9");
-        assert!(cluster.run_until(20_000, |w| w.count_keys("live/job/") == 0));
+        assert!(cluster.run_until(20_000, |cluster| cluster.count_keys("live/job/") == 0));
     }
 }
--- a/src/engine/tests/failover.rs
+++ b/src/engine/tests/failover.rs
@@ -141,8 +141,9 @@
     assert_eq!(cluster.running_tasks("run-2"), 1);
 }
 
-/// Guards against leaders that wait for the heartbeat of a dead machine before they rent others,
-/// for longer than they lead: each leader crashes after nine seconds, and one machine hangs.
+/// Guards against leaders that wait for the heartbeat of a hung machine for longer than they lead,
+/// and therefore never rent other machines: one machine hangs, and each leader crashes after nine
+/// seconds.
 #[test]
 fn short_lived_leaders_rent_machines_despite_a_hung_one() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
--- a/src/engine/tests/failover_at_scale.rs
+++ b/src/engine/tests/failover_at_scale.rs
@@ -108,14 +108,14 @@
     for seed in 1..=3 {
         let outcome = run_scenario(200, seed);
         assert_eq!(outcome.hung, 40);
-        // Includes the election, the first heartbeats and the partition.
+        // The limit covers the election, the first heartbeats and the partition.
         assert!(outcome.first_start_ms < 30_000, "seed {seed}");
         assert!(outcome.recovered_ms < RECOVERY_LIMIT_MS, "seed {seed}");
     }
 }
 
-/// Prints figures for `docs/measurements.md`. Run with `cargo test --release -- --ignored
-/// --nocapture at_4000_machines`.
+/// Prints figures for `docs/measurements.md`. Run with
+/// `cargo test --release -- --ignored --nocapture at_4000_machines`.
 #[test]
 #[ignore = "takes minutes"]
 fn failover_at_4000_machines_loses_no_task() {
--- a/src/engine/tests/large_fleet.rs
+++ b/src/engine/tests/large_fleet.rs
@@ -31,8 +31,8 @@
     cluster
 }
 
-/// Prints figures for `docs/measurements.md`. Run with `cargo test --release -- --ignored
-/// --nocapture`.
+/// Prints figures for `docs/measurements.md`. Run with
+/// `cargo test --release -- --ignored --nocapture`.
 #[test]
 #[ignore = "measures, decides nothing"]
 fn measure_engine_time() {
--- a/src/engine/tests/machines.rs
+++ b/src/engine/tests/machines.rs
@@ -186,7 +186,7 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against services that stay on half-empty machines after the tasks beside them have ended.
+/// Guards against services that stay on half-empty machines after the other tasks there have ended.
 #[test]
 fn half_empty_service_machines_are_consolidated() {
     let mut cluster = cluster_with(vec![
--- a/src/engine/tests/starvation.rs
+++ b/src/engine/tests/starvation.rs
@@ -40,8 +40,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against starvation of an array with the lowest priority and of a large service: the
-/// capacity is less than the jobs of high priority alone request.
+/// Guards against starvation of a large array of the lowest priority and of a large service: the
+/// jobs of high priority alone request more than the capacity.
 #[test]
 fn largest_array_and_service_start_within_four_minutes_despite_high_priority_jobs() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
@@ -50,12 +50,12 @@
     let array = short_job("run-array", JobKind::Array, 150).with_priority(Priority::Low);
     let mut service = short_job("run-service", JobKind::Service, 8);
     (service.priority, service.spread_zones) = (Priority::Normal, true);
-    let mut high_priority_jobs = 0;
+    let mut submitted = 0;
     for second in 0..340 {
         // These jobs request twice what the eight machines can run.
         for _ in 0..2 {
-            high_priority_jobs += 1;
-            let mut job = short_job(&format!("run-{high_priority_jobs}"), JobKind::Array, 2);
+            submitted += 1;
+            let mut job = short_job(&format!("run-{submitted}"), JobKind::Array, 2);
             (job.priority, job.expected_duration_s) = (Priority::High, 16.0);
             cluster.submit(job);
         }
