--- a/src/engine/tests/combined_faults/cancellations.rs
+++ b/src/engine/tests/combined_faults/cancellations.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Guards against leaders that extend leases for cancelled tasks, or give up leadership, because
-/// they can't read the records: leaders change while the records can't be listed for longer than
+/// Guards against leaders that can't read the records and therefore extend leases for cancelled
+/// tasks or give up leadership: leaders change while the records can't be listed for longer than
 /// the time limit of a cancellation, and workers keep sending heartbeats.
 #[test]
 fn leaders_without_readable_records_stop_only_cancelled_tasks() {
--- a/src/engine/tests/combined_faults/late_messages.rs
+++ b/src/engine/tests/combined_faults/late_messages.rs
@@ -40,8 +40,8 @@
     assert_eq!(cluster.starts, 4, "completed tasks ran again");
 }
 
-/// Guards against transactions that are correct only if they are executed in order, or at all:
-/// rounds, completions and elections whose commit got no reply are executed late, also after a
+/// Guards against transactions that are correct only if they are executed in order, or at all: some
+/// commits of rounds, completions and elections get no reply and are executed late, also after a
 /// failover.
 #[test]
 fn late_commits_violate_no_invariant() {
--- a/src/engine/tests/large_fleet.rs
+++ b/src/engine/tests/large_fleet.rs
@@ -92,9 +92,9 @@
         .collect()
 }
 
-/// Guards against a failover that a large fleet overloads: all workers send heartbeats to the new
-/// leader within a second, and late copies of earlier heartbeats arrive among them. Each worker
-/// must keep its lease and its tasks and get new ones, and no other node may be elected.
+/// Guards against a new leader that is overloaded by a large fleet: all workers send heartbeats to
+/// it within a second, and late copies of earlier heartbeats arrive among them. Each worker must
+/// keep its lease and its tasks and get new ones, and no other node may be elected.
 #[test]
 fn large_fleet_keeps_leases_and_tasks_after_a_failover() {
     let mut cluster = full_fleet(1_900);
@@ -131,7 +131,7 @@
 /// the leader crashes in the meantime. Every lost task must be placed again, services first, and no
 /// task may run twice.
 #[test]
-fn tasks_of_half_a_hung_fleet_are_placed_again_services_first() {
+fn tasks_of_hung_half_of_a_fleet_are_placed_again_services_first() {
     let mut cluster = full_fleet(1_000);
     let hung: Vec<String> = cluster.workers.keys().step_by(2).cloned().collect();
     let tasks_on = |machine: &String| cluster.workers[machine].tasks.len() as u64;
--- a/src/engine/tests/large_gangs.rs
+++ b/src/engine/tests/large_gangs.rs
@@ -86,7 +86,7 @@
 /// The leader crashes while the records of a finished round are deleted, a few at a time. The
 /// remaining records name no live job, and the next leader must delete them.
 #[test]
-fn leader_crash_while_records_are_deleted_orphans_no_record() {
+fn leader_crash_while_records_are_deleted_leaves_no_record() {
     let mut cluster = cluster_with_lowest_limits();
     cluster.submit(three_transaction_gang());
     assert_completes(&mut cluster, "run-1", 240_000);
--- a/src/engine/tests/stored_records.rs
+++ b/src/engine/tests/stored_records.rs
@@ -153,7 +153,7 @@
 }
 
 /// Two open rounds name all of the array's tasks, and its progress records name most of these as
-/// completed. Only the others must be started, once their machines are known to be gone.
+/// completed. Only the others may be started, once their machines are known to be gone.
 #[test]
 fn stored_array_continues_from_its_progress_records() {
     for crash_at in [3_000, 25_000, 31_000] {
