--- a/src/autoscaler/offers.rs
+++ b/src/autoscaler/offers.rs
@@ -68,7 +68,7 @@
     /// Returns the price per hour of a machine, or `None` if its type is unknown.
     pub(super) fn price_of(&self, snapshot: &MachineSnapshot) -> Option<f64> {
         let machine_type = self.types.get(&snapshot.machine_type)?;
-        Some(machine_type.price_of(snapshot.spot))
+        Some(machine_type.hourly_price(snapshot.spot))
     }
 
     /// Returns a new machine of the offer on which one task of the job costs least, or `None` if no
@@ -113,7 +113,7 @@
         Some(PricedOffer {
             offer,
             machine_type,
-            task_price: machine_type.price_of(offer.spot) * task_permille as f64,
+            task_price: machine_type.hourly_price(offer.spot) * task_permille as f64,
         })
     }
 }
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -285,7 +285,7 @@
         let mut keys = Vec::new();
         for part in &fitting_parts {
             let record = ProgressRecord {
-                done: job.completed.part_text(*part),
+                done: job.completed.encode_part(*part),
             };
             // The version is compared so that an older write that is applied late can't overwrite
             // this one.
--- a/src/engine/completions/tests.rs
+++ b/src/engine/completions/tests.rs
@@ -21,7 +21,7 @@
 fn end_of_job_is_conditional_on_leader_key_and_job_record_version() {
     let mut completions = Completions::default();
     let mut job = job(JobKind::Array, 1);
-    job.complete(0);
+    job.complete_task(0);
     completions.add_finished(&"run-1".into());
     let (transaction, batch) = next_transaction_for(&mut completions, &job, 0).unwrap();
     let compared = transaction.comparisons.iter();
@@ -44,7 +44,7 @@
 fn failed_transaction_is_retried_with_the_same_changes() {
     let mut completions = Completions::default();
     let mut job = job(JobKind::Array, 2);
-    job.complete(0);
+    job.complete_task(0);
     completions.add_progress(&"run-1".into());
     completions.add_removal("rounds/1".into());
     let (transaction, batch) = next_transaction_for(&mut completions, &job, 0).unwrap();
@@ -60,13 +60,13 @@
 fn progress_waits_for_its_interval_but_job_ends_do_not() {
     let mut completions = Completions::default();
     let mut array = job(JobKind::Array, 2);
-    array.complete(0);
+    array.complete_task(0);
     completions.add_progress(&"run-1".into());
     assert!(next_transaction_for(&mut completions, &array, 0).is_some());
     completions.on_committed(context_at(0).now());
     completions.add_progress(&"run-1".into());
     assert!(next_transaction_for(&mut completions, &array, 100).is_none());
-    array.complete(1);
+    array.complete_task(1);
     completions.add_finished(&"run-1".into());
     assert!(next_transaction_for(&mut completions, &array, 100).is_some());
 }
--- a/src/engine/records/fixture_tests.rs
+++ b/src/engine/records/fixture_tests.rs
@@ -173,7 +173,7 @@
     done.remove(3);
     done.remove(PROGRESS_RECORD_TASKS + 64);
     for (name, part) in [("work", 0), ("work_part_1", 1), ("work_empty", 2)] {
-        let done = done.part_text(part);
+        let done = done.encode_part(part);
         assert_round_trip(&mut table, name, &ProgressRecord { done });
     }
     table.finish();
--- a/src/engine/records/tests.rs
+++ b/src/engine/records/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::constants::{LEGACY_PROGRESS_RECORD_TASKS, PROGRESS_RECORD_TASKS};
 use crate::model::TaskSet;
-use crate::wire::user::{JobKind, tests::job};
+use crate::wire::user::{JobKind, tests::job_submission};
 
 #[test]
 fn records_and_keys_round_trip_through_the_state_service() {
     let record = JobRecord::new(
-        job("run-7", JobKind::Gang, 2),
+        job_submission("run-7", JobKind::Gang, 2),
         UnixTime::from_millis(1_700_000_000_000),
     );
     assert_eq!(decode_job(job_value(&record)).unwrap(), record);
@@ -64,7 +64,7 @@
 }
 
 fn gang_record() -> JobRecord {
-    let mut job = job("run-7", JobKind::Gang, 2);
+    let mut job = job_submission("run-7", JobKind::Gang, 2);
     job.machine_types = Some(vec!["g8".into()]);
     job.zone = Some("east".into());
     job.deadline_s = Some(900.0);
@@ -139,7 +139,8 @@
     ] {
         let (_, first) = parse_progress_key(key).unwrap();
         let record: ProgressRecord = decode_stored(bytes).unwrap();
-        done.add_text(first, &record.done, 10_000).unwrap();
+        done.insert_encoded_part(first, &record.done, 10_000)
+            .unwrap();
     }
     let expected = [0, 5_000, LEGACY_PROGRESS_RECORD_TASKS + 70];
     assert_eq!(done.iter().collect::<Vec<_>>(), expected);
@@ -182,7 +183,7 @@
 /// Returns the record of a job submitted 2 s after the start of the cluster that wrote the fixtures
 /// of the first version with dependencies.
 fn job_record(id: &str, kind: JobKind, tasks: u64, depends_on: &[&str]) -> JobRecord {
-    let mut job = job(id, kind, tasks);
+    let mut job = job_submission(id, kind, tasks);
     job.expected_duration_s = 10.0;
     job.depends_on = depends_on.iter().map(|id| (*id).to_owned()).collect();
     JobRecord::new(job, UnixTime::from_millis(2_000))
@@ -243,9 +244,10 @@
         assert_eq!(progress_key(&"run-1".into(), tasks, part), key);
         let (_, first) = parse_progress_key(key).unwrap();
         let record: ProgressRecord = decode_stored(bytes).unwrap();
-        done.add_text(first, &record.done, tasks).unwrap();
+        done.insert_encoded_part(first, &record.done, tasks)
+            .unwrap();
         let rewritten = ProgressRecord {
-            done: done.part_text(part),
+            done: done.encode_part(part),
         };
         assert_round_trip(bytes, &rewritten);
     }
