--- a/src/engine/tests/replay/conversion.rs
+++ b/src/engine/tests/replay/conversion.rs
@@ -36,7 +36,7 @@
     record_outcome(&effects, &engine.status())
 }
 
-/// Converts the result of an engine's step to the script's format.
+/// Converts the effects of an engine's step, and the status after it, to the script's format.
 pub(super) fn record_outcome(effects: &[Effect], status: &EngineStatus) -> script::Outcome {
     script::Outcome {
         effects: effects.iter().map(record_effect).collect(),
--- a/src/engine/tests/replay/mod.rs
+++ b/src/engine/tests/replay/mod.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Guards against a recorder that omits an input on which the engine's effects depend: two
-/// recordings of a scenario would differ, or the replay would have other effects.
+/// Guards against a simulation that is not deterministic, and against a recorder that omits an input
+/// on which the engine's effects depend, so that a replay has other effects.
 #[test]
 fn fresh_recordings_are_deterministic_and_replayable() {
     for scenario in &SCENARIOS {
--- a/src/engine/tests/replay/scenarios/load.rs
+++ b/src/engine/tests/replay/scenarios/load.rs
@@ -1,4 +1,4 @@
-//! Scenarios in which the jobs need more resources than there are.
+//! Scenarios in which jobs need more resources than are available.
 
 use crate::engine::tests::simulated_cluster::SimulatedCluster;
 use crate::engine::tests::support::{
--- a/src/engine/tests/simulated_cluster/cloud.rs
+++ b/src/engine/tests/simulated_cluster/cloud.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Rents the requested machines, limited by the zone's capacity. A repeated request returns the
-    /// machines of its first execution.
+    /// Rents the requested number of machines, or as many as the zone has left. A repeated request
+    /// returns the machines of its first execution.
     ///
     /// # Errors
     ///
@@ -102,11 +102,11 @@
         Ok(CloudReply::Rented(names))
     }
 
-    /// Adds a machine that is booting, and returns its name.
+    /// Adds a machine that has just begun to boot, and returns its name.
     fn boot_machine(&mut self, zone: &str) -> String {
         let name = machine_name(self.machines_rented);
         self.machines_rented += 1;
-        // Workers know the addresses of all nodes and may send the first heartbeat to any node.
+        // A worker has the addresses of all nodes and may send its first heartbeat to any of them.
         let any_node = self.machines_rented as usize % self.nodes.len();
         let node = self.initial_node.unwrap_or(any_node);
         let worker = Worker::new(zone, node, self.now + BOOT_TIME);
--- a/src/engine/tests/simulated_cluster/effects.rs
+++ b/src/engine/tests/simulated_cluster/effects.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Sends the reply to a heartbeat to its worker, if it can be reached, or keeps the reply to a
-    /// query for the test.
+    /// Sends the reply to a worker's heartbeat to the worker, if the worker can be reached. Keeps
+    /// every other reply for the test.
     fn send_reply(&mut self, process: ProcessId, to: ReplyId, reply: Reply) {
         let Some(heartbeat) = self.pending_heartbeats.remove(&to) else {
             self.query_replies.insert(to, reply);
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Delivers a call to the state service. A call without delay is executed immediately, not as a
-    /// new event.
+    /// Sends a call to the state service. A call without delay is executed immediately instead of
+    /// being scheduled as an event.
     fn call_store(&mut self, caller: Caller, call: StoreCall) {
         if let StoreCall::Watch {
             prefix,
--- a/src/engine/tests/simulated_cluster/events.rs
+++ b/src/engine/tests/simulated_cluster/events.rs
@@ -8,7 +8,7 @@
 use crate::wire::store::Transaction;
 use crate::wire::worker::{DirectCommands, Heartbeat};
 
-/// Time between two steps that an engine takes without a command.
+/// Time between two ticks of an engine. A tick is a step without a command.
 const TICK_INTERVAL: Millis = 200;
 /// Time between two evaluations of the condition of [`SimulatedCluster::run_until`].
 const CONDITION_CHECK_INTERVAL: Millis = 100;
@@ -30,7 +30,7 @@
     },
     /// A worker's next heartbeat is due.
     SendHeartbeat { machine: String },
-    /// The reply to a heartbeat arrives, or the timeout has passed if the reply is `None`.
+    /// The reply to a heartbeat arrives. `None` means that the timeout for the reply has passed.
     ReceiveReply {
         machine: String,
         sequence: u64,
--- a/src/engine/tests/simulated_cluster/faults.rs
+++ b/src/engine/tests/simulated_cluster/faults.rs
@@ -26,11 +26,12 @@
     pub(crate) store_unavailable: bool,
     /// Nodes whose calls the state service refuses with status 503.
     pub(crate) nodes_without_store: BTreeSet<usize>,
-    /// If this is n and not 0, every nth commit is executed but its reply is lost.
+    /// Every nth commit is executed but its reply is lost; 0 means none.
     pub(crate) lose_commit_reply_every: u64,
     /// Nodes and machines can't reach those of the other zone.
     pub(crate) zones_partitioned: bool,
-    /// Machines whose worker sends nothing, executes no command, and whose tasks make no progress.
+    /// Machines that hang: the worker sends nothing and executes no command, and the tasks make no
+    /// progress.
     pub(crate) hung_machines: BTreeSet<String>,
     /// Machines on which every task fails.
     pub(crate) failing_machines: BTreeSet<String>,
@@ -40,8 +41,8 @@
     pub(crate) preemption_notices: BTreeMap<String, f64>,
     /// Exit reasons with which tasks exit instead of running, by job id.
     pub(crate) forced_exits: BTreeMap<String, ExitReason>,
-    /// Running tasks that are stopped save a checkpoint first, which takes the checkpoint cost of
-    /// their job.
+    /// Running tasks that are stopped save a checkpoint first, which takes as long as their job
+    /// states.
     pub(crate) save_checkpoints: bool,
     /// Time for which the tasks of a gang wait for each other before they run.
     pub(crate) gang_wait: Millis,
@@ -53,15 +54,15 @@
     pub(crate) machines_without_replies: BTreeSet<String>,
     /// Nodes that can neither send announcements to their peers nor receive any.
     pub(crate) nodes_without_peers: BTreeSet<usize>,
-    /// Additional time before the state service executes a call other than a watch. The call is
+    /// Additional time before the state service executes a call, except watches. The call is
     /// executed even if the caller's process has ended in the meantime.
     pub(crate) store_delay: Millis,
     /// Maximum number of machines that the cloud has in each zone. `None` means no limit.
     pub(crate) zone_capacity: Option<usize>,
     /// Nodes that can't communicate with any worker.
     pub(crate) nodes_without_workers: BTreeSet<usize>,
-    /// If this is n and not 0, every nth commit gets no reply and is executed 2 to 12 s later,
-    /// after newer commits.
+    /// Every nth commit gets no reply and is executed 2 to 12 s later, after newer commits; 0 means
+    /// none.
     pub(crate) delay_commit_every: u64,
     /// The next commit that writes a key with this prefix gets no reply and is executed 12 s later.
     pub(crate) delay_next_write: Option<&'static str>,
@@ -69,8 +70,7 @@
     pub(crate) machines_without_heartbeats: BTreeSet<String>,
     /// All direct commands to machines are lost.
     pub(crate) lose_direct_commands: bool,
-    /// If this is n and not 0, a duplicate of every nth heartbeat arrives at all nodes 2 to 38 s
-    /// later.
+    /// A duplicate of every nth heartbeat arrives at all nodes 2 to 38 s later; 0 means none.
     pub(crate) duplicate_heartbeat_every: u64,
     /// Additional time that calls to the state service, except watches, take to arrive, by calling
     /// node.
@@ -81,12 +81,12 @@
     pub(crate) refuse_record_lists: bool,
     /// The fault in the cloud's machine lists.
     pub(crate) machine_list: MachineListFault,
-    /// Additional time between the creation of a machine list by the cloud and its arrival.
+    /// Additional time that the cloud's machine lists take to arrive after the cloud has made them.
     pub(crate) machine_list_delay: Millis,
     /// Additional time that replies of the state service take, except replies to watches, by
     /// receiving node.
     pub(crate) store_reply_delay: BTreeMap<usize, Millis>,
     /// Maximum random latency added to each message independently, so that messages can arrive out
-    /// of order. It must not exceed 700 ms, so that a call and its reply stay within all timeouts.
+    /// of order. With at most 700 ms, a call and its reply stay within all timeouts.
     pub(crate) max_jitter: Millis,
 }
--- a/src/engine/tests/simulated_cluster/inspection.rs
+++ b/src/engine/tests/simulated_cluster/inspection.rs
@@ -84,8 +84,8 @@
         self.workers[machine].sent_heartbeats.clone()
     }
 
-    /// Returns the jobs with at least one task that is neither running nor completed, except jobs
-    /// that are done or cancelled.
+    /// Returns the jobs, other than done and cancelled ones, with at least one task that is neither
+    /// running nor completed.
     pub(crate) fn waiting_jobs(&self) -> Vec<String> {
         let is_open = |id: &&String| !self.cancelled.contains_key(*id) && !self.is_done(id);
         let lacks_tasks = |id: &&String| {
--- a/src/engine/tests/simulated_cluster/invariants.rs
+++ b/src/engine/tests/simulated_cluster/invariants.rs
@@ -11,14 +11,14 @@
 pub(super) const CANCELLATION_LIMIT: Millis = 42_000;
 
 impl SimulatedCluster {
-    /// Adds a violation with the current time to the recorded ones.
+    /// Records a violation together with the current time.
     fn record_violation(&mut self, violation: &str) {
         self.violations.push(format!("{}: {violation}", self.now));
     }
 
-    /// Checks the invariants for a task that has just started on a machine: it runs on no other
-    /// machine, its job's dependencies are done, its job was not cancelled too long ago, and the
-    /// GPU limits of the team and of the machine are kept.
+    /// Checks the invariants for a task that has just been started on a machine: the task is active
+    /// on no other machine, its job's dependencies are done, its job was not cancelled more than
+    /// [`CANCELLATION_LIMIT`] ago, and the team and the machine are within their GPU limits.
     pub(super) fn check_start(&mut self, machine: &str, task: &str) {
         let job = job_of(task);
         if self.active_machine_count(task) > 1 {
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Checks the invariants for a transaction that is about to be applied: a final record marks a
-    /// job as done only after the job's tasks have completed, the state in a final record never
+    /// Checks the invariants for a transaction that is about to be applied: a final record says that
+    /// a job is done only after the job's tasks have completed, the state in a final record never
     /// changes, and no round starts tasks of a job whose cancellation is durable.
     pub(super) fn check_writes(&mut self, transaction: &Transaction) {
         for mutation in &transaction.mutations {
--- a/src/engine/tests/simulated_cluster/mod.rs
+++ b/src/engine/tests/simulated_cluster/mod.rs
@@ -37,7 +37,7 @@
 /// An instant or a duration of the fake clock, in milliseconds.
 pub(crate) type Millis = u64;
 
-/// The lowest GPU limit of a team that counts as unlimited: usage is not checked against it.
+/// The GPU limit of a team from which on the team's usage is not checked.
 pub(crate) const UNLIMITED_GPUS: f64 = 1e6;
 
 /// Maximum number of items on a page of the state service's listings. It is small so that the tests
@@ -66,10 +66,11 @@
     /// The workers, by the name of their machine.
     pub(crate) workers: BTreeMap<String, Worker>,
     machines_rented: u64,
-    /// The machines rented for each request id, since requests may be retried.
+    /// The machines rented for each request, by request id. A repeated request gets the same
+    /// machines.
     rent_requests: BTreeMap<String, Vec<String>>,
     pending_heartbeats: BTreeMap<ReplyId, PendingHeartbeat>,
-    /// Replies to queries, that is to all commands except heartbeats.
+    /// All replies except those to the workers' heartbeats.
     query_replies: BTreeMap<ReplyId, Reply>,
     /// The faults that are currently in effect.
     pub(crate) faults: Faults,
--- a/src/engine/tests/simulated_cluster/network.rs
+++ b/src/engine/tests/simulated_cluster/network.rs
@@ -27,7 +27,8 @@
         self.schedule(latency, event);
     }
 
-    /// Reports whether a machine's heartbeats reach a node, and the node's replies the machine.
+    /// Reports whether a machine's heartbeats reach a node. The replies to them need the same
+    /// connection.
     pub(super) fn heartbeat_reaches(&self, machine: &str, node: usize) -> bool {
         let hung = self.faults.hung_machines.contains(machine);
         let heartbeats_lost = self.faults.machines_without_heartbeats.contains(machine);
--- a/src/engine/tests/simulated_cluster/nodes.rs
+++ b/src/engine/tests/simulated_cluster/nodes.rs
@@ -14,11 +14,11 @@
 const FIRST_ANNOUNCEMENT_AFTER: Millis = 100;
 /// Time between two announcements of a node.
 const ANNOUNCEMENT_INTERVAL: Millis = 1_000;
-/// In fleets of at least this many machines, the engine's snapshots are not checked after every
-/// step, but once per [`SNAPSHOT_CHECK_EVENTS`].
+/// In fleets of at least this many machines, the engine's snapshots are checked only from time to
+/// time, see [`SNAPSHOT_CHECK_EVENTS`].
 const SMALL_FLEET_MACHINES: usize = 100;
-/// Interval between two checks of the engine's snapshots in large fleets, counted in events and
-/// replies.
+/// In large fleets, the engine's snapshots are checked after the steps that are taken when the last
+/// sequence number is a multiple of this.
 const SNAPSHOT_CHECK_EVENTS: u64 = 200;
 
 /// A node. Its process may be down.
@@ -92,7 +92,7 @@
         node as u64 * 1000 + self.nodes[node].epoch
     }
 
-    /// Ends a node's process without a shutdown.
+    /// Ends a node's process without a shutdown. Calls in flight are still executed.
     pub(crate) fn crash(&mut self, node: usize) {
         self.nodes[node].engine = None;
         self.nodes[node].epoch += 1;
@@ -181,8 +181,8 @@
         self.schedule(ANNOUNCEMENT_INTERVAL, Event::Announce { node: from });
     }
 
-    /// Calls the engine of a process with a batch of commands and applies the effects. Does nothing
-    /// if the process is no longer running.
+    /// Lets the engine of a process take a step with a batch of commands, and applies the effects.
+    /// Does nothing if the process is no longer running.
     ///
     /// # Panics
     ///
--- a/src/engine/tests/simulated_cluster/settings.rs
+++ b/src/engine/tests/simulated_cluster/settings.rs
@@ -10,7 +10,8 @@
         .replace("txn_ops = 24", &format!("txn_ops = 24\n{upcoming_limits}"))
 }
 
-/// Parses a settings file and fills in the name, zone and peers of one of `nodes` nodes.
+/// Parses a settings file and fills in the name, zone and peers of the node with index `node` in a
+/// cluster of `nodes` nodes.
 ///
 /// # Panics
 ///
--- a/src/engine/tests/simulated_cluster/state_service/commits.rs
+++ b/src/engine/tests/simulated_cluster/state_service/commits.rs
@@ -11,7 +11,7 @@
 const LATE_WRITE_DELAY: Millis = 12_000;
 /// The protocol's limit on the size of an encoded transaction, in bytes.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// Ratio of the limit on a transaction's comparisons to the limit on its mutations.
+/// The limit on a transaction's comparisons is this many times the limit on its mutations.
 const COMPARISONS_PER_MUTATION: usize = 4;
 
 fn key_of(mutation: &Mutation) -> &str {
@@ -127,7 +127,7 @@
         Ok(StoreReply::Committed { revision })
     }
 
-    /// Asserts that a transaction is within the limits of the state service.
+    /// Asserts that a transaction does not exceed the limits of the state service.
     fn check_limits(&self, transaction: &Transaction) {
         let max_mutations = self.max_mutations;
         let max_comparisons = COMPARISONS_PER_MUTATION * max_mutations;
--- a/src/engine/tests/simulated_cluster/state_service/watches.rs
+++ b/src/engine/tests/simulated_cluster/state_service/watches.rs
@@ -64,8 +64,8 @@
         self.store.watches = waiting;
     }
 
-    /// Returns the result of a watch, or `None` if the watch has to wait. A watch also waits while
-    /// the state service refuses calls of its node.
+    /// Returns the result of a watch, or `None` if the watch has to wait. While the state service
+    /// refuses the calls of a node, the node's watches wait until the caller has timed out.
     fn watch_result(&self, watch: &Watch) -> Option<Result<StoreReply, StoreError>> {
         let slack = constants::WATCH_SLACK.as_millis() as Millis;
         if self.now >= watch.deadline + slack {
--- a/src/engine/tests/simulated_cluster/users.rs
+++ b/src/engine/tests/simulated_cluster/users.rs
@@ -68,7 +68,7 @@
         self.query_replies.remove(&reply)
     }
 
-    /// Returns those of the given jobs which, as far as a node knows, were never accepted.
+    /// Asks a node which of the given jobs it does not know to have been accepted.
     ///
     /// # Panics
     ///
@@ -79,11 +79,11 @@
         self.step_with_command(node, Command::FindUnknownJobs { jobs, reply });
         match self.take_reply(reply) {
             Some(Reply::UnknownJobs(jobs)) => jobs.iter().map(ToString::to_string).collect(),
-            other => panic!("{other:?}"),
+            other => panic!("unexpected reply: {other:?}"),
         }
     }
 
-    /// Delivers to a node the announcement of a cancellation that another node has confirmed.
+    /// Delivers the announcement of a cancellation, which another node has confirmed, to a node.
     pub(crate) fn announce_cancellation(&mut self, node: usize, id: &str) {
         self.step_with_command(node, Command::JobCancelled(id.into()));
     }
--- a/src/engine/tests/simulated_cluster/workers/commands.rs
+++ b/src/engine/tests/simulated_cluster/workers/commands.rs
@@ -10,7 +10,7 @@
 const HUNG_RETRY_INTERVAL: Millis = 100;
 
 impl Worker {
-    /// Starts stopping a task, if the attempt matches.
+    /// Marks a task to be stopped, if the attempt matches.
     fn stop_task(&mut self, id: &str, attempt: u64) {
         let task = self.tasks.get_mut(id);
         if let Some(task) = task.filter(|task| task.attempt == attempt) {
@@ -30,9 +30,9 @@
 }
 
 impl SimulatedCluster {
-    /// Handles direct commands that arrive at a worker. The worker ignores commands that name
-    /// another incarnation, and commands with a lower fencing token than the highest one that the
-    /// worker has received, because they come from an earlier leader.
+    /// Handles direct commands that arrive at a worker. The worker ignores commands for another
+    /// incarnation. It also ignores commands whose fencing token is lower than the highest one that
+    /// it has received, because newer commands, or a newer leader, have replaced them.
     pub(in super::super) fn receive_direct_commands(
         &mut self,
         machine: String,
@@ -60,8 +60,8 @@
         let new_leader = direct.fencing_token > worker.fencing_token;
         worker.fencing_token = direct.fencing_token;
         worker.sequence += 1;
-        // The worker reports a higher fencing token as early as the minimum heartbeat interval
-        // allows.
+        // The worker reports a higher fencing token at once, but not before the minimum heartbeat
+        // interval has passed.
         if new_leader && worker.claim_early_heartbeat(self.now) && !worker.awaits_reply {
             let earliest = worker.last_sent_at + MIN_HEARTBEAT_INTERVAL;
             let delay = earliest.saturating_sub(self.now);
--- a/src/engine/tests/simulated_cluster/workers/heartbeats.rs
+++ b/src/engine/tests/simulated_cluster/workers/heartbeats.rs
@@ -7,9 +7,10 @@
 use crate::engine::{Command, Reply};
 use crate::wire::worker::{Heartbeat, HeartbeatResponse, Task};
 
-/// Time from a response that changes no task of the worker to the next heartbeat.
+/// Time from a response to the next heartbeat, unless the response changes the number of the
+/// worker's tasks or causes an early heartbeat.
 const HEARTBEAT_INTERVAL: Millis = 3_000;
-/// Minimum time between two heartbeats of a worker.
+/// Minimum time between two heartbeats of a worker, except after a redirect.
 pub(super) const MIN_HEARTBEAT_INTERVAL: Millis = 500;
 /// Time from a redirect to the next heartbeat.
 const REDIRECT_DELAY: Millis = 100;
@@ -45,7 +46,7 @@
         heartbeat
     }
 
-    /// Reports whether a reply, or a timeout if there is none, belongs to the heartbeat in flight.
+    /// Reports whether a reply, or a timeout if `reply` is `None`, belongs to the heartbeat in flight.
     fn matches_in_flight_heartbeat(
         &self,
         sequence: u64,
@@ -57,7 +58,7 @@
     }
 
     /// Reports whether a higher fencing token may cause an early heartbeat now, and if so records
-    /// the time. Early heartbeats are limited to one per half lease.
+    /// the time. There is at most one early heartbeat per half lease.
     pub(super) fn claim_early_heartbeat(&mut self, now: Millis) -> bool {
         let last = self.last_early_heartbeat_at;
         let due = last.is_none_or(|at| now >= at + WORKER_LEASE / 2);
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Reschedules the next heartbeats of all workers so that they are spread over the given
-    /// duration from now.
+    /// Reschedules the next heartbeats of all workers to within the given duration from now, one
+    /// millisecond apart.
     pub(crate) fn schedule_all_heartbeats_within(&mut self, duration: Millis) {
         let machines: Vec<String> = self.workers.keys().cloned().collect();
         for (number, machine) in (0..).zip(machines) {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Handles the arrival of the reply to a heartbeat, or the timeout if the reply is `None`.
+    /// Handles the reply to a heartbeat, or the timeout if `reply` is `None`.
     pub(in super::super) fn receive_reply(
         &mut self,
         machine: &str,
--- a/src/engine/tests/simulated_cluster/workers/mod.rs
+++ b/src/engine/tests/simulated_cluster/workers/mod.rs
@@ -14,8 +14,8 @@
 pub(super) const MACHINE_GPUS: f64 = 4.0;
 /// Time from the rental of a machine to the first heartbeat of its worker.
 pub(super) const BOOT_TIME: Millis = 20_000;
-/// Duration of a worker's lease. If the leader accepts no heartbeat for longer, the worker stops
-/// its tasks.
+/// Duration of a worker's lease. A worker whose heartbeats the leader has not accepted for longer
+/// stops its tasks.
 const WORKER_LEASE: Millis = 17_000;
 
 /// Returns the name of the machine with the given number.
@@ -49,7 +49,8 @@
     /// The worker's tasks, by task id.
     pub(crate) tasks: BTreeMap<String, WorkerTask>,
     cached_images: BTreeSet<String>,
-    /// The earliest time at which the lease expires or a task changes its state without a command.
+    /// The next time at which the lease expires or a task changes its state without a command; 0 if
+    /// the worker has to be checked at once.
     next_change_at: Millis,
     /// All heartbeats sent so far, from which tests redeliver duplicates.
     pub(super) sent_heartbeats: Vec<Heartbeat>,
@@ -110,7 +111,7 @@
         worker.next_change_at = 0;
     }
 
-    /// Adds a running task that no leader started to a machine.
+    /// Adds a running task to a machine, although no leader has started the task there.
     pub(crate) fn inject_task(&mut self, machine: &str, task: &str) {
         let worker = self.workers.get_mut(machine).unwrap();
         let injected = WorkerTask::running(1, self.now);
--- a/src/engine/tests/simulated_cluster/workers/tasks.rs
+++ b/src/engine/tests/simulated_cluster/workers/tasks.rs
@@ -121,7 +121,8 @@
         context.image_cached || context.now >= self.state_since + IMAGE_FETCH_TIME
     }
 
-    /// Leaves the fetching state: the task runs, waits for its gang, or exits if a fault says so.
+    /// Ends the fetching of the image: the task exits if a fault makes it exit, otherwise it waits
+    /// for its gang or runs.
     fn finish_fetch(&mut self, context: &TaskContext) {
         let (job, faults) = (context.job, context.faults);
         self.enter_state(TaskState::Running, context.now);
@@ -156,8 +157,8 @@
 }
 
 impl Worker {
-    /// Restarts the worker if its lease has expired, and resets the time of its next change to the
-    /// expiry of the lease.
+    /// Restarts the worker if its lease has expired. Sets the time of the next change to the expiry
+    /// of the lease that it had before.
     fn expire_lease(&mut self, now: Millis) {
         self.next_change_at = self.lease_started_at() + WORKER_LEASE + 1;
         let since_lease_start = now.saturating_sub(self.lease_started_at());
@@ -210,7 +211,7 @@
 
 impl SimulatedCluster {
     /// Advances the tasks on all workers that are not hung, and records a violation for each task
-    /// that still runs after [`CANCELLATION_LIMIT`].
+    /// that has not exited [`CANCELLATION_LIMIT`] after its job was cancelled.
     pub(in super::super) fn advance_tasks(&mut self) {
         let now = self.now;
         let mut cancellations = self.cancelled.values();
--- a/src/engine/tests/support.rs
+++ b/src/engine/tests/support.rs
@@ -67,7 +67,7 @@
 }
 
 /// Creates a cluster of three nodes whose team may use eight GPUs, and submits the jobs after 2 s,
-/// when there is a leader.
+/// by when there is a leader.
 ///
 /// The engines' log is shown if the tests are run with `--nocapture`.
 pub(crate) fn cluster_with(jobs: Vec<JobSubmission>) -> SimulatedCluster {
@@ -110,7 +110,7 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Restarts node 1, the only node in the west zone, until it no longer leads.
+/// Restarts node 1, the only node in the west zone, until it no longer leads, and lets 10 s pass.
 pub(crate) fn move_leadership_east(cluster: &mut SimulatedCluster) {
     while cluster.leader() == Some(1) {
         cluster.restart(1, 10_000);
