--- a/src/engine/tests/combined_faults/cancellations.rs
+++ b/src/engine/tests/combined_faults/cancellations.rs
@@ -11,7 +11,8 @@
 
 /// Guards against a leader that accepts heartbeats for longer than it can be sure to know all
 /// cancellations: the state service refuses only the leader, a job is cancelled through another
-/// node, and the leader does not learn of it. Later the state service refuses all nodes.
+/// node, and the leader does not learn of the cancellation. Later the state service refuses all
+/// nodes.
 #[test]
 fn cancelled_tasks_stop_while_the_leader_and_then_all_nodes_are_refused() {
     for outage in [10_000, 40_000, 64_000] {
@@ -78,8 +79,8 @@
     }
 }
 
-/// A peer's announcement makes the leader stop cancelled tasks earlier, although correctness does
-/// not depend on it. The state service refuses only the leader.
+/// A peer's announcement makes the leader stop cancelled tasks earlier, although the time limit of a
+/// cancellation is kept without it. The state service refuses only the leader.
 #[test]
 fn announced_cancellation_stops_tasks_of_a_refused_leader_at_once() {
     for announced in [false, true] {
--- a/src/engine/tests/combined_faults/late_messages.rs
+++ b/src/engine/tests/combined_faults/late_messages.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Guards against stale heartbeats that are treated as new: copies of heartbeats arrive between
-/// some seconds and two leases late, after newer heartbeats, at the node that leads at that time.
+/// Guards against stale heartbeats that are treated as new: copies of heartbeats arrive some seconds
+/// to two leases late, after newer heartbeats, at the node that leads by then.
 #[test]
 fn heartbeats_duplicated_across_failovers_change_nothing() {
     for duplicate_heartbeat_every in 1..4 {
@@ -97,7 +97,7 @@
     for leader_crashes in [false, true] {
         let mut cluster = cluster_with_two_services();
         let machine = cluster.first_machine_of_job("run-1").unwrap();
-        // Only heartbeats that were sent before the machine's first task are delivered again.
+        // Only the heartbeats that were sent before the machine's first task are delivered again.
         let mut heartbeats = cluster.heartbeats_of(&machine);
         heartbeats.retain(|heartbeat| heartbeat.tasks.is_empty());
         assert!(heartbeats.len() > 1);
--- a/src/engine/tests/combined_faults/leader_changes.rs
+++ b/src/engine/tests/combined_faults/leader_changes.rs
@@ -50,7 +50,7 @@
     cluster.submit(short_job("run-3", JobKind::Array, 1));
     cluster.cancel("run-1");
     cluster.run(2_000);
-    // There is capacity for both jobs. The leader learns of the cancellation below only with its
+    // There is capacity for both jobs. The leader learns of the cancellation of run-4 only with its
     // next watch reply, which is delayed.
     cluster.submit(short_job("run-4", JobKind::Array, 1));
     cluster.submit(short_job("run-5", JobKind::Array, 1));
@@ -165,8 +165,8 @@
     }
 }
 
-/// Guards against state that is lost with its leader: there are ten leaders in two minutes, also
-/// during an outage, while jobs are submitted and cancelled.
+/// Guards against state that is lost with the leader that holds it: there are ten leaders in two
+/// minutes, also during an outage, while jobs are submitted and cancelled.
 #[test]
 fn ten_leaders_in_two_minutes_violate_no_invariant() {
     for outage in [None, Some(2), Some(5)] {
--- a/src/engine/tests/combined_faults/lost_machines.rs
+++ b/src/engine/tests/combined_faults/lost_machines.rs
@@ -7,8 +7,8 @@
 use crate::constants;
 use crate::wire::user::JobKind;
 
-/// Guards against stops that are sent only with heartbeat replies, and against a leader that
-/// assumes that a machine that can't open connections has stopped its tasks.
+/// Guards against stops that are sent only in heartbeat responses, and against a leader that assumes
+/// that a machine that can't open connections has stopped its tasks.
 #[test]
 fn machines_without_heartbeats_are_stopped_directly_and_replaced_once_returned() {
     let mut cluster = cluster_with_two_services();
@@ -39,7 +39,7 @@
         assert!(cluster.run_until(60_000, |cluster| cluster.all_running_tasks() == 8));
         cluster.cancel("run-0");
         cluster.run(1_000);
-        // This job uses the rest of the team's quota. The machine that was full is idle.
+        // This job uses the rest of the team's quota. The machine that run-0 filled is idle.
         cluster.submit(short_job("run-4", JobKind::Service, 1));
         assert!(cluster.run_until(10_000, |cluster| cluster.all_running_tasks() == 8));
         let busy = cluster.busy_machines();
@@ -93,7 +93,7 @@
         );
         assert!(
             all_placed,
-            "{:?}: {}",
+            "{:?} wait: {}",
             cluster.waiting_jobs(),
             cluster.describe()
         );
--- a/src/engine/tests/combined_faults/mod.rs
+++ b/src/engine/tests/combined_faults/mod.rs
@@ -31,8 +31,8 @@
     [followers.next().unwrap(), followers.next().unwrap()]
 }
 
-/// Makes all workers report to this node, whichever node they reported to before, and send it a
-/// heartbeat within 300 ms.
+/// Makes all workers send their heartbeats to this node, whichever node they used before, the first
+/// within 300 ms.
 pub(super) fn redirect_all_workers_to(cluster: &mut SimulatedCluster, node: usize) {
     cluster
         .workers
--- a/src/engine/tests/dependencies/blocked_jobs.rs
+++ b/src/engine/tests/dependencies/blocked_jobs.rs
@@ -9,8 +9,8 @@
 use crate::wire::user::{JobKind, Priority};
 use std::time::Duration;
 
-/// Returns the job as the leader holds it, or none if there is no leader or it does not have the
-/// job.
+/// Returns the job as the leader holds it in memory. Returns `None` without a leader, or if the
+/// leader does not have the job.
 fn job_at_leader<'a>(cluster: &'a SimulatedCluster, id: &str) -> Option<&'a Job> {
     let leader = cluster.leader()?;
     cluster.engine(leader)?.jobs.get(&JobId::from(id))
@@ -62,7 +62,7 @@
     assert!(cluster.run_until(60_000, |cluster| !cluster.started_jobs.is_empty()));
     assert!(
         cluster.started_jobs.contains("run-1"),
-        "{:?}",
+        "started jobs: {:?}",
         cluster.started_jobs
     );
     assert!(!cluster.started_jobs.contains("run-9"));
@@ -88,9 +88,9 @@
     assert_eq!(job.deadline(), UnixTime::from_millis(6_000));
 }
 
-/// Guards against times that a new leader restarts, and against a deadline that is postponed while
-/// the job is blocked: the deadline counts from the submission, and starvation counts from the time
-/// at which the job became ready.
+/// Guards against times that start again with a new leader, and against a deadline that is postponed
+/// while the job is blocked: the deadline counts from the submission, and starvation counts from the
+/// time at which the job became ready.
 #[test]
 fn times_of_a_blocked_job_survive_a_failover() {
     let dependency = job_with_duration("run-1", JobKind::Array, 1, 60.0);
@@ -105,8 +105,8 @@
         if after_failover {
             let leader = cluster.crash_leader();
             cluster.run(6_000);
-            // The other nodes hold the blocked job in memory; the former leader has to read its
-            // record again.
+            // The other nodes hold the blocked job in memory, so they crash too; the former leader
+            // has to read the job's record again.
             for node in (0..3).filter(|node| *node != leader) {
                 cluster.crash(node);
             }
--- a/src/engine/tests/dependencies/cancellation.rs
+++ b/src/engine/tests/dependencies/cancellation.rs
@@ -45,9 +45,9 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against a reply that is older than that of another node: each node must ask the state
-/// service for changes newer than the query. No leader is there to write the final records of the
-/// dependents.
+/// Guards against a node whose reply is older than that of another node: each node must ask the state
+/// service for changes newer than the query. There is no leader, so nobody writes the final records
+/// of the dependents.
 #[test]
 fn all_nodes_report_a_dependents_cancellation_consistently() {
     let mut jobs = job_chain();
@@ -74,8 +74,8 @@
     );
 }
 
-/// Jobs that depend on a cancelled job must be cancelled although its live record is deleted, also
-/// with a node that has just restarted.
+/// Jobs that depend on a cancelled job must be cancelled although that job's live record is deleted,
+/// also if a node has just restarted.
 #[test]
 fn jobs_depending_on_a_cancelled_job_are_cancelled() {
     let mut cluster = cluster_with(vec![dependent_job("run-1", JobKind::Service, 1, &[])]);
--- a/src/engine/tests/dependencies/chains.rs
+++ b/src/engine/tests/dependencies/chains.rs
@@ -5,9 +5,9 @@
 use crate::wire::user::{JobKind, JobState};
 use std::collections::BTreeSet;
 
-/// Guards against a job that a leader starts because of its memory instead of durable records: the
-/// leader crashes at any step of a round, or of the write that releases the next job, which may
-/// also be executed late.
+/// Guards against a job that a leader starts because of what it holds in memory and not because of
+/// durable records: the leader crashes at any step of a round, or of the write that releases the next
+/// job, which may also be executed late.
 #[test]
 fn dependency_chain_runs_in_order_across_failovers() {
     for delay_commit_every in [0, 3] {
--- a/src/engine/tests/dependencies/completion_races.rs
+++ b/src/engine/tests/dependencies/completion_races.rs
@@ -9,8 +9,8 @@
 use crate::wire::user::{JobKind, JobState};
 use std::collections::BTreeSet;
 
-/// Returns a cluster with the root submitted, in which the state service executes each call 40 ms
-/// late.
+/// Returns a cluster in which the root is submitted and the state service executes each call, except
+/// watches, 40 ms late.
 fn cluster_with_root_and_slow_store() -> SimulatedCluster {
     let mut cluster = cluster_with(vec![short_job(ROOT, JobKind::Array, 1)]);
     cluster.faults.store_delay = 40;
--- a/src/engine/tests/dependencies/mod.rs
+++ b/src/engine/tests/dependencies/mod.rs
@@ -26,7 +26,8 @@
 }
 pub(super) use production;
 
-/// Returns a chain of four jobs that depend on earlier ones, with both kinds of jobs that complete.
+/// Returns a chain of four jobs, each but the first depending on earlier ones. They are arrays and a
+/// gang, the kinds of job that complete.
 pub(super) fn job_chain() -> Vec<JobSubmission> {
     vec![
         dependent_job("run-1", JobKind::Array, 2, &[]),
--- a/src/engine/tests/dependencies/production_records.rs
+++ b/src/engine/tests/dependencies/production_records.rs
@@ -26,7 +26,8 @@
         cluster.jobs.insert("run-7".into(), gang);
         cluster.put_record("term", production!("term"));
         cluster.put_record("live/job/run-7", production!("open"));
-        // This round is of the production version's term, on a machine that has been returned.
+        // This round belongs to the production version's term and names a machine that has been
+        // returned.
         cluster.put_record("rounds/0000000000700001", production!("round"));
     });
     assert!(cluster.run_until(10_000, |cluster| cluster.leader().is_some()));
--- a/src/engine/tests/dependencies/status_queries.rs
+++ b/src/engine/tests/dependencies/status_queries.rs
@@ -1,4 +1,5 @@
-//! Status queries about a blocked job, answered as by the API from records and the engine's reply.
+//! Status queries about a blocked job, answered from the records and the engine's reply as in the
+//! API.
 
 use super::super::simulated_cluster::{Millis, SimulatedCluster};
 use crate::engine::{Reply, ReplyId};
@@ -19,7 +20,7 @@
 pub(super) enum StatusAnswer {
     /// 404: the job was never accepted.
     NeverAccepted,
-    /// 503, returned without delay: the state can't be determined.
+    /// 503, sent before the user's timeout: the state can't be determined.
     Unavailable,
     /// The job's state.
     State(JobState),
@@ -188,7 +189,7 @@
     }
 }
 
-/// Returns the answer that the records alone determine, or none if the engine has to be asked.
+/// Returns the answer that the records alone determine, or `None` if the engine has to be asked.
 fn state_from_records(cluster: &SimulatedCluster) -> Option<StatusAnswer> {
     let Some(record) = cluster.live_record(LEAF) else {
         let state = cluster.final_state(LEAF);
--- a/src/engine/tests/failover.rs
+++ b/src/engine/tests/failover.rs
@@ -75,8 +75,11 @@
     let mut cluster = cluster_with(vec![large]);
     cluster.run(90_000);
     let (starts_before, rounds) = (cluster.starts, cluster.count_keys("rounds/"));
-    assert!(starts_before > 40, "{starts_before} starts");
-    assert!(rounds < 20, "{rounds} open rounds");
+    assert!(
+        starts_before > 40,
+        "only {starts_before} tasks started in 90 s"
+    );
+    assert!(rounds < 20, "{rounds} records of rounds are stored");
     cluster.crash_leader();
     cluster.run(30_000);
     assert!(cluster.starts > starts_before + 20);
@@ -95,8 +98,8 @@
             ]);
             cluster.faults.store_delay = store_delay;
             cluster.run(crash_at);
-            // All three nodes crash together; then, during the election, they crash one after the
-            // other.
+            // All three nodes crash together. Then, during the election, they crash and restart one
+            // after the other.
             for iteration in 0..2 {
                 for node in 0..3 {
                     cluster.crash(node);
@@ -114,7 +117,7 @@
             assert_completes(&mut cluster, "run-2", 200_000);
             assert!(
                 cluster.starts <= 14,
-                "delay {store_delay} ms, crash at {crash_at}: {}",
+                "delay {store_delay} ms, crash at {crash_at}: {} starts",
                 cluster.starts
             );
         }
--- a/src/engine/tests/failover_at_scale.rs
+++ b/src/engine/tests/failover_at_scale.rs
@@ -24,7 +24,7 @@
     hung: usize,
 }
 
-/// Returns a fleet in which that many machines are full of tasks and a few more have just become
+/// Returns a fleet with `machines` machines that are full of tasks and a few that have just become
 /// idle.
 fn full_fleet_and_idle_machines(machines: usize) -> SimulatedCluster {
     let mut cluster = full_fleet(machines);
@@ -105,8 +105,16 @@
         let outcome = run_scenario(200, seed);
         assert_eq!(outcome.hung, 40);
         // The limit covers the election, the first heartbeats and the partition.
-        assert!(outcome.first_start_ms < 30_000, "seed {seed}");
-        assert!(outcome.recovered_ms < RECOVERY_LIMIT_MS, "seed {seed}");
+        assert!(
+            outcome.first_start_ms < 30_000,
+            "seed {seed}: first start after {} ms",
+            outcome.first_start_ms
+        );
+        assert!(
+            outcome.recovered_ms < RECOVERY_LIMIT_MS,
+            "seed {seed}: recovered after {} ms",
+            outcome.recovered_ms
+        );
     }
 }
 
--- a/src/engine/tests/job_lifecycle.rs
+++ b/src/engine/tests/job_lifecycle.rs
@@ -47,8 +47,8 @@
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
     assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 1));
     for number in 2..7 {
-        // The submissions are spread over a heartbeat interval, and are less frequent than early
-        // heartbeats.
+        // The submissions come at different times within a heartbeat interval, and are further
+        // apart than early heartbeats, of which there is at most one per half lease.
         cluster.run(9_000 + 500 * number);
         let id = format!("run-{number}");
         cluster.submit(short_job(&id, JobKind::Service, 1));
@@ -95,7 +95,7 @@
     assert_completes(&mut cluster, "run-1", 60_000);
 }
 
-/// A gang that needs more starts than one record holds must start each task once, also if commit
+/// The starts of this gang take several records. Each task must be started once, also if commit
 /// replies are lost and the leader crashes.
 #[test]
 fn starts_of_a_large_gang_span_several_records() {
--- a/src/engine/tests/large_fleet.rs
+++ b/src/engine/tests/large_fleet.rs
@@ -7,8 +7,8 @@
 use crate::wire::worker::Heartbeat;
 use std::time::Duration;
 
-/// Returns a cluster in which `machines` machines run four tasks each, of production services and
-/// of arrays whose tasks run for 3,000 s.
+/// Returns a cluster in which `machines` machines run four tasks each. The tasks belong to services
+/// of production priority and to arrays, whose tasks run for 3,000 s.
 pub(crate) fn full_fleet(machines: usize) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(3, UNLIMITED_GPUS);
     cluster.page_items = constants::STORE_LIST_PAGE_ITEMS as usize;
--- a/src/engine/tests/large_gangs.rs
+++ b/src/engine/tests/large_gangs.rs
@@ -23,7 +23,7 @@
     cluster
 }
 
-/// Runs until that many records of rounds are stored, at most for 90 s.
+/// Runs until at least that many records of rounds are stored. Panics if this takes more than 90 s.
 #[track_caller]
 fn run_until_round_records(cluster: &mut SimulatedCluster, records: usize) {
     for _ in 0..90_000 {
@@ -32,7 +32,10 @@
         }
         cluster.run(1);
     }
-    panic!("{} records of rounds", cluster.count_keys("rounds/"));
+    panic!(
+        "only {} of {records} records of rounds are stored",
+        cluster.count_keys("rounds/")
+    );
 }
 
 /// Asserts that all records of rounds, jobs and progress are deleted within that time.
@@ -96,7 +99,7 @@
     );
     assert!(
         cluster.count_keys("rounds/") > 0,
-        "deleted in several transactions"
+        "the records are deleted in several transactions"
     );
     cluster.crash_leader();
     assert_no_records_left(&mut cluster, 60_000);
@@ -153,7 +156,7 @@
         // The record of the service's round remains while the service runs.
         assert!(
             cluster.run_until(150_000, |cluster| remaining(cluster) == 1),
-            "{}",
+            "{} records of rounds are left, expected 1",
             remaining(&cluster)
         );
         cluster.run(150_000);
@@ -161,9 +164,9 @@
     }
 }
 
-/// A machine is lost while the round of a gang is written. The gang must not be started in part.
+/// A machine is lost while the round of a gang is written. The gang must not stay started in part.
 #[test]
-fn machine_loss_while_a_large_round_is_written_starts_no_partial_gang() {
+fn gang_completes_despite_machine_loss_while_its_round_is_written() {
     let mut cluster = cluster_with_lowest_limits();
     cluster.submit(three_transaction_gang());
     run_until_round_records(&mut cluster, 4);
@@ -216,7 +219,7 @@
     assert_eq!(
         cluster.count_keys("rounds/"),
         1,
-        "the record of the late commit"
+        "the record of the late commit is stored"
     );
     assert!(cluster.run_until(90_000, |cluster| cluster.count_keys("rounds/") == 0));
     assert_eq!(cluster.term(), term);
--- a/src/engine/tests/machine_lists.rs
+++ b/src/engine/tests/machine_lists.rs
@@ -11,8 +11,8 @@
     cluster
 }
 
-/// Guards against a machine list that never ends or repeats a page, and keeps all calls to the
-/// cloud busy. The list must be abandoned and read again later; no running task may be lost in the
+/// Guards against a machine list that never ends or repeats a page and so uses up the calls to the
+/// cloud. The list must be abandoned and read again later. No running task may be lost in the
 /// meantime, and a correct list must be accepted again.
 #[test]
 fn endless_machine_list_is_abandoned_and_read_again() {
@@ -59,7 +59,7 @@
 }
 
 /// A new leader whose first machine list never ends must consider the fleet neither empty nor
-/// complete: it rents no machine until a list has ended.
+/// complete: the leader must rent no machine until it has read a list to its end.
 #[test]
 fn endless_machine_list_does_not_count_as_an_empty_fleet() {
     let mut cluster = cluster_with_running_service();
@@ -70,7 +70,7 @@
     let machines = cluster.workers.len();
     cluster.submit(short_job("run-2", JobKind::Array, 8));
     cluster.run(60_000);
-    assert_eq!(cluster.workers.len(), machines, "no machine rented");
+    assert_eq!(cluster.workers.len(), machines, "no machine is rented");
     assert!(
         busy.iter()
             .all(|machine| !cluster.returned_machines.contains(machine))
--- a/src/engine/tests/machines.rs
+++ b/src/engine/tests/machines.rs
@@ -136,8 +136,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Copies of heartbeats that are between seconds and several leases old arrive at every node: first
-/// at the leader that had received them, and later, when the machine is gone, at a new leader.
+/// Copies of heartbeats that are seconds to several leases old arrive at every node: first at the
+/// leader that had received the originals, and later, when the machine is gone, at a new leader.
 #[test]
 fn stale_heartbeats_neither_keep_nor_restore_a_machine() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Service, 1)]);
--- a/src/engine/tests/message_reordering.rs
+++ b/src/engine/tests/message_reordering.rs
@@ -1,5 +1,5 @@
-//! Late and reordered messages. Each test fails if the guard against the reordering is removed from
-//! the engine.
+//! Late, reordered and lost messages. Each test fails if the engine's guard against its case is
+//! removed.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
 use super::support::{assert_completes, cluster_with, dependent_job, job_with_duration, short_job};
@@ -51,8 +51,8 @@
 #[test]
 fn late_machine_list_does_not_restore_a_returned_machine() {
     let (mut cluster, machine) = cluster_with_one_idle_machine();
-    // This is longer than the pause between two lists, so that a list is pending whenever a machine
-    // is returned.
+    // The delay is longer than the pause between two lists, so that a list is pending whenever a
+    // machine is returned.
     cluster.faults.machine_list_delay = 7_000;
     assert!(cluster.run_until(120_000, |cluster| return_count(cluster, &machine) == 1));
     cluster.run(60_000);
@@ -141,7 +141,7 @@
         cluster.run(1);
         started(&cluster)
     });
-    assert!(start_ms.is_some(), "not started");
+    assert!(start_ms.is_some(), "run-2 is not started within 10 s");
     let mut heartbeat = cluster.heartbeats_of(&machine).pop().unwrap();
     heartbeat.sequence += 1;
     heartbeat.tasks = vec![Task {
@@ -157,9 +157,9 @@
     assert_completes(&mut cluster, "run-2", 60_000);
 }
 
-/// Guards against lost tasks that count as present: a heartbeat is compared task by task only if
-/// the number of tasks in it differs from the number placed on the machine. Here it names one task
-/// less.
+/// Guards against lost tasks that count as present: a heartbeat is compared task by task only if the
+/// number of tasks in it differs from the number of tasks placed on the machine. Here the heartbeat
+/// names one task less.
 #[test]
 fn lost_task_is_placed_again() {
     for tasks in [1, 3] {
@@ -177,9 +177,9 @@
 }
 
 /// Guards against stops that are sent only as direct commands: here, direct commands are lost, and
-/// the stop must arrive with a heartbeat reply.
+/// the stop must arrive in a heartbeat response.
 #[test]
-fn stops_are_also_sent_with_heartbeat_replies() {
+fn stops_are_also_sent_in_heartbeat_responses() {
     let mut cluster = cluster_with(vec![short_job("run-1", JobKind::Gang, 2)]);
     assert!(cluster.run_until(60_000, |cluster| cluster.running_tasks("run-1") == 2));
     cluster.faults.lose_direct_commands = true;
--- a/src/engine/tests/replay/mod.rs
+++ b/src/engine/tests/replay/mod.rs
@@ -65,7 +65,11 @@
 fn fresh_recordings_are_deterministic_and_replayable() {
     for scenario in &SCENARIOS {
         let script = scenario.record();
-        assert!(script == scenario.record(), "{}", scenario.name);
+        assert!(
+            script == scenario.record(),
+            "{}: two recordings differ",
+            scenario.name
+        );
         replay(scenario.name, &script);
     }
 }
--- a/src/engine/tests/simulated_cluster/workers/commands.rs
+++ b/src/engine/tests/simulated_cluster/workers/commands.rs
@@ -32,7 +32,8 @@
 impl SimulatedCluster {
     /// Handles direct commands that arrive at a worker. The worker ignores commands for another
     /// incarnation. It also ignores commands whose fencing token is lower than the highest one that
-    /// it has received, because newer commands, or a newer leader, have replaced them.
+    /// it has received: they come from an earlier leader, or from before the leader's last request
+    /// for a heartbeat.
     pub(in super::super) fn receive_direct_commands(
         &mut self,
         machine: String,
--- a/src/engine/tests/slow_links.rs
+++ b/src/engine/tests/slow_links.rs
@@ -1,5 +1,5 @@
-//! Slow links: each message is delayed independently up to a bound, so that replies arrive late and
-//! out of order, also while tasks request more than the resources.
+//! Slow links: each message is delayed independently, up to a bound, so that replies arrive late and
+//! out of order. In one test the jobs also need more resources than are available.
 
 use super::simulated_cluster::{Millis, SimulatedCluster};
 use super::support::{JobSubmissionExt, job_with_duration, short_job, whole_machine_gang};
@@ -30,8 +30,8 @@
     cluster
 }
 
-/// Submits more small jobs each second than the machines can run, for that many seconds; every
-/// other second the jobs have high priority.
+/// For that many seconds, submits more small jobs each second than the machines can run. Every other
+/// second the jobs have high priority.
 fn run_overloaded(cluster: &mut SimulatedCluster, submitted: &mut u64, seconds: u64) {
     for second in 0..seconds {
         for _ in 0..3 {
@@ -61,10 +61,10 @@
     );
 }
 
-/// Guards against starvation while jobs, some of high priority, request more than the resources,
-/// links are slow and the leader crashes. The large gang and the large array must start within four
-/// minutes of their submission, and all waiting jobs must start once the links are fast and there
-/// is capacity.
+/// Guards against starvation while the jobs, some of them of high priority, need more resources than
+/// are available, links are slow and the leader crashes. The large gang and the large array must
+/// start within four minutes of their submission, and all waiting jobs must start once the links are
+/// fast and there is capacity.
 #[test]
 fn overload_with_slow_links_starves_no_job() {
     for (seed, max_jitter) in [(1, 250), (2, 600)] {
@@ -93,8 +93,8 @@
                 cluster.describe()
             );
         }
-        // The faults end: there is now capacity for all remaining jobs, for a few tasks of each at
-        // a time.
+        // The faults end. Now there is capacity for all remaining jobs, for a few tasks of each job
+        // at a time.
         cluster.faults.max_jitter = 0;
         cluster.faults.zone_capacity = None;
         assert_all_placed(&mut cluster, &context);
--- a/src/engine/tests/starvation.rs
+++ b/src/engine/tests/starvation.rs
@@ -67,8 +67,8 @@
         }
         cluster.run(1_000);
     }
-    // A job that has started is not starved, even if it was preempted later: no task is preempted
-    // within 30 s of its start.
+    // It is enough that each job has started, even if its tasks were preempted later: no task is
+    // preempted within 30 s of its start.
     for id in ["run-array", "run-service"] {
         assert!(
             cluster.started_jobs.contains(id),
@@ -79,8 +79,8 @@
     assert_eq!(cluster.violations, Vec::<String>::new());
 }
 
-/// Guards against a scheduling pass that considers only as many jobs as a round may name: a larger
-/// number of jobs that can't be placed is ahead of one that can.
+/// Guards against a scheduling pass that considers only as many jobs as a round may name: more jobs
+/// than that, none of which can be placed, are ahead of one that can.
 #[test]
 fn unplaceable_jobs_at_the_head_of_the_queue_do_not_block_others() {
     let mut cluster = SimulatedCluster::new(3, 400.0);
--- a/src/engine/tests/stored_records.rs
+++ b/src/engine/tests/stored_records.rs
@@ -11,7 +11,7 @@
 /// The number of the round whose records are the fixtures `round`, `round1` and `round2`.
 const STORED_ROUND: u64 = 0x10_0001;
 const GANG_TASKS: u64 = 300;
-/// Tasks of the array that the fixtures don't name as completed.
+/// Tasks of the array that are not completed according to the fixtures.
 const INCOMPLETE_TASKS: [u32; 5] = [3, 64, 4_095, 4_097, 4_199];
 
 macro_rules! stored {
@@ -36,8 +36,8 @@
     cluster.start_all_nodes();
 }
 
-/// Writes a job's live record, and adds the job to those for which the cluster checks its
-/// invariants.
+/// Writes a job's live record, and adds the job to the submitted jobs of the cluster, which the checks
+/// of the invariants need.
 fn put_job(cluster: &mut SimulatedCluster, record: Value) {
     let job = records::decode_job(record.clone()).unwrap().job;
     cluster.put_record(&records::job_key(&job.id), record);
