--- a/tests/bad_input/main.rs
+++ b/tests/bad_input/main.rs
@@ -5,7 +5,7 @@
 //! breaks and tabs escaped. The cases are written in terms of the protocol and the settings files, not of
 //! the types that decode them, so that renaming a type can't change a case together with its outcome.
 
-// A test fails by a panic, also in its helpers.
+// A panic fails the test, also in its helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[path = "../support/mod.rs"]
@@ -53,7 +53,7 @@
         .replace('\t', "\\t")
 }
 
-/// Asserts that the cases match a fixture line by line. Writes the actual lines to a file in the
+/// Asserts that the cases match a fixture line by line. Also writes the actual lines to a file in the
 /// directory `CARGO_TARGET_TMPDIR`.
 ///
 /// # Panics
--- a/tests/bad_input/mutations.rs
+++ b/tests/bad_input/mutations.rs
@@ -174,8 +174,8 @@
     mutations
 }
 
-/// Returns forms of a body that are truncated, have trailing bytes or are not valid MessagePack. No valid
-/// value begins with the marker 0xc1, which some of them contain.
+/// Returns forms of a body that are truncated, have trailing bytes or are not valid MessagePack. Some
+/// contain the marker 0xc1, with which no MessagePack value begins.
 fn damaged_bytes(body: &[u8]) -> Vec<DamagedMessage> {
     let length = body.len();
     let mut forms = Vec::new();
--- a/tests/bad_input/requests.rs
+++ b/tests/bad_input/requests.rs
@@ -1,5 +1,4 @@
-//! Tests of the responses to bad HTTP requests: the status, the content type, `Retry-After` and the error
-//! text.
+//! Tests of the responses to bad HTTP requests: status, content type, `Retry-After` and error text.
 
 use super::messages::{heartbeat, submission};
 use super::mutations::encode;
@@ -54,7 +53,7 @@
     )
 }
 
-/// Encodes a message with the given fields, which replace existing fields of the same name.
+/// Encodes a message with the given fields, which are added or replace fields of the same name.
 fn with_fields(message: Value, fields: Vec<(&str, Value)>) -> Vec<u8> {
     let Value::Map(mut entries) = message else {
         unreachable!("messages are maps");
--- a/tests/dependencies_http/main.rs
+++ b/tests/dependencies_http/main.rs
@@ -1,6 +1,6 @@
 //! Tests over HTTP of jobs that depend on other jobs.
 
-// A test fails by a panic, also in its helpers.
+// A panic fails the test, also in its helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod states;
--- a/tests/dependencies_http/states.rs
+++ b/tests/dependencies_http/states.rs
@@ -1,7 +1,7 @@
 //! Tests of the reported states of jobs that depend on other jobs.
 
 use crate::support::{TIMEOUT, map};
-use crate::user::{final_record, reply, start_ready_node, submission};
+use crate::user::{expected_response, final_record, start_ready_node, submission};
 use rmpv::Value;
 
 /// Guards against the state `queued` for a job whose dependency may have been cancelled: the state of
@@ -23,18 +23,18 @@
         assert_eq!(user.query("run-2").await.status, 503);
     }
     *service.unreadable_job.lock().unwrap() = None;
-    let first_reply = async {
+    let first_response = async {
         loop {
             match user.query("run-2").await {
-                reply if reply.status == 503 => tokio::task::yield_now().await,
-                reply => return reply,
+                response if response.status == 503 => tokio::task::yield_now().await,
+                response => return response,
             }
         }
     };
-    let first_reply = tokio::time::timeout(TIMEOUT, first_reply).await;
+    let first_response = tokio::time::timeout(TIMEOUT, first_response).await;
     assert_eq!(
-        first_reply.expect("the query should succeed within the timeout"),
-        reply(200, "aborted")
+        first_response.expect("the query should succeed within the timeout"),
+        expected_response(200, "aborted")
     );
 }
 
@@ -45,8 +45,8 @@
     let (user, service) = start_ready_node().await;
     service.put_with_change("live/job/run-1", "not a record".into());
     let body = submission("run-2", "vision", &["run-1"]);
-    assert_eq!(user.submit(body).await, reply(201, "queued"));
-    assert_eq!(user.query("run-2").await, reply(200, "queued"));
+    assert_eq!(user.submit(body).await, expected_response(201, "queued"));
+    assert_eq!(user.query("run-2").await, expected_response(200, "queued"));
 }
 
 /// Guards against dependents that stay queued forever after their dependency, whose live record can't
@@ -56,11 +56,14 @@
     let (user, service) = start_ready_node().await;
     service.put_with_change("live/job/run-1", "not a record".into());
     let body = submission("run-2", "vision", &["run-1"]);
-    assert_eq!(user.submit(body).await, reply(201, "queued"));
-    assert_eq!(user.query("run-2").await, reply(200, "queued"));
-    assert_eq!(user.cancel("run-1").await, reply(200, "aborted"));
+    assert_eq!(user.submit(body).await, expected_response(201, "queued"));
+    assert_eq!(user.query("run-2").await, expected_response(200, "queued"));
+    assert_eq!(
+        user.cancel("run-1").await,
+        expected_response(200, "aborted")
+    );
     let cancelled = async {
-        while user.query("run-2").await != reply(200, "aborted") {
+        while user.query("run-2").await != expected_response(200, "aborted") {
             tokio::task::yield_now().await;
         }
     };
@@ -69,15 +72,15 @@
 }
 
 /// Guards against a cancellation that arrives after the job's completion but still cancels the
-/// dependents: the reply to it has the state `done`, and the leader releases the dependents.
+/// dependents: the response has the state `done`, and the leader releases the dependents.
 #[tokio::test]
 async fn cancellation_of_a_completed_job_does_not_affect_dependents() {
     let (user, service) = start_ready_node().await;
     service.put_without_change("final/run-1", final_record("done"));
     let body = submission("run-2", "vision", &["run-1"]);
-    assert_eq!(user.submit(body).await, reply(201, "queued"));
-    assert_eq!(user.cancel("run-1").await, reply(200, "done"));
-    assert_eq!(user.query("run-2").await, reply(200, "queued"));
+    assert_eq!(user.submit(body).await, expected_response(201, "queued"));
+    assert_eq!(user.cancel("run-1").await, expected_response(200, "done"));
+    assert_eq!(user.query("run-2").await, expected_response(200, "queued"));
     let released = async {
         loop {
             let record = service.value("live/job/run-2").unwrap();
@@ -90,5 +93,5 @@
     };
     let released = tokio::time::timeout(TIMEOUT, released).await;
     released.expect("the dependent should be released within the timeout");
-    assert_eq!(user.query("run-2").await, reply(200, "queued"));
+    assert_eq!(user.query("run-2").await, expected_response(200, "queued"));
 }
--- a/tests/dependencies_http/submissions.rs
+++ b/tests/dependencies_http/submissions.rs
@@ -1,19 +1,19 @@
 //! Tests of submissions that depend on other jobs.
 
 use crate::support::TIMEOUT;
-use crate::user::{final_record, reply, start_ready_node, submission};
+use crate::user::{expected_response, final_record, start_ready_node, submission};
 use std::sync::atomic::Ordering;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 /// Guards against 422 for a submission whose dependency was accepted. The dependency may have been
-/// accepted by another node whose write this node has not seen yet, for another team, or so long ago
-/// that only its final record remains.
+/// accepted by another node, whose write this node has not seen yet, or for another team, or so long
+/// ago that only its final record remains.
 #[tokio::test]
 async fn submission_may_depend_on_any_accepted_job() {
     let (user, service) = start_ready_node().await;
     service.hides_changes.store(true, Ordering::Relaxed);
-    let accepted = reply(201, "queued");
+    let accepted = expected_response(201, "queued");
     assert_eq!(
         user.submit(submission("run-1", "speech", &[])).await,
         accepted
@@ -64,8 +64,14 @@
     let (user, _service) = start_ready_node().await;
     let dependency = || submission("run-1", "vision", &[]);
     let dependent = || submission("run-2", "vision", &["run-1"]);
-    assert_eq!(user.submit(dependency()).await, reply(201, "queued"));
-    assert_eq!(user.submit(dependent()).await, reply(201, "queued"));
+    assert_eq!(
+        user.submit(dependency()).await,
+        expected_response(201, "queued")
+    );
+    assert_eq!(
+        user.submit(dependent()).await,
+        expected_response(201, "queued")
+    );
     let too_many: Vec<String> = (0..65).map(|number| format!("run-{number}")).collect();
     let too_many: Vec<&str> = too_many.iter().map(String::as_str).collect();
     let repetitions = || {
@@ -78,10 +84,19 @@
         ]
     };
     for repetition in repetitions() {
-        assert_eq!(user.submit(repetition).await, reply(200, "queued"));
+        assert_eq!(
+            user.submit(repetition).await,
+            expected_response(200, "queued")
+        );
     }
-    assert_eq!(user.cancel("run-1").await, reply(200, "aborted"));
+    assert_eq!(
+        user.cancel("run-1").await,
+        expected_response(200, "aborted")
+    );
     for repetition in repetitions() {
-        assert_eq!(user.submit(repetition).await, reply(200, "aborted"));
+        assert_eq!(
+            user.submit(repetition).await,
+            expected_response(200, "aborted")
+        );
     }
 }
--- a/tests/dependencies_http/user.rs
+++ b/tests/dependencies_http/user.rs
@@ -10,19 +10,19 @@
 use umbervale::http::{HttpClient, HttpResponse};
 use umbervale::wire::encode;
 
-/// The status and the job state of a reply to a user.
+/// The status and the job state of a response to a user.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct JobReply {
+pub(crate) struct JobResponse {
     /// The HTTP status.
     pub(crate) status: u16,
-    /// The state of the job that the reply names; empty if it names none.
+    /// The job state that the response names; empty if the response names none.
     pub(crate) state: String,
 }
 
-impl JobReply {
+impl JobResponse {
     /// Extracts the status and the job state from a response.
-    fn from_response(response: &HttpResponse) -> JobReply {
-        JobReply {
+    fn from_response(response: &HttpResponse) -> JobResponse {
+        JobResponse {
             status: response.status,
             state: job_state_in(response),
         }
@@ -43,24 +43,24 @@
         response.await.unwrap()
     }
 
-    /// Submits a job and returns the reply.
-    pub(crate) async fn submit(&self, body: Vec<u8>) -> JobReply {
+    /// Submits a job and returns the response.
+    pub(crate) async fn submit(&self, body: Vec<u8>) -> JobResponse {
         let response = self.send(Method::POST, "/submissions", Some(body)).await;
-        JobReply::from_response(&response)
+        JobResponse::from_response(&response)
     }
 
     /// Queries the state of a job.
-    pub(crate) async fn query(&self, id: &str) -> JobReply {
+    pub(crate) async fn query(&self, id: &str) -> JobResponse {
         let path = format!("/submissions/{id}");
         let response = self.send(Method::GET, &path, None).await;
-        JobReply::from_response(&response)
+        JobResponse::from_response(&response)
     }
 
-    /// Cancels a job and returns the reply.
-    pub(crate) async fn cancel(&self, id: &str) -> JobReply {
+    /// Cancels a job and returns the response.
+    pub(crate) async fn cancel(&self, id: &str) -> JobResponse {
         let path = format!("/submissions/{id}/cancel");
         let response = self.send(Method::POST, &path, None).await;
-        JobReply::from_response(&response)
+        JobResponse::from_response(&response)
     }
 }
 
@@ -86,7 +86,7 @@
     (user, node.service)
 }
 
-/// Returns an encoded submission of a team that depends on the jobs `dependencies`.
+/// Returns an encoded submission of a job of `team` that depends on the jobs `dependencies`.
 pub(crate) fn submission(id: &str, team: &str, dependencies: &[&str]) -> Vec<u8> {
     let dependencies = dependencies.iter().map(|id| Value::from(*id));
     let mut fields = submission_fields(id, team);
@@ -94,10 +94,10 @@
     encode(&map(fields))
 }
 
-/// Returns the reply with a status and a job state, for comparison with the actual one.
-pub(crate) fn reply(status: u16, state: &str) -> JobReply {
+/// Returns a response with the given status and job state, to compare the actual one with.
+pub(crate) fn expected_response(status: u16, state: &str) -> JobResponse {
     let state = state.to_owned();
-    JobReply { status, state }
+    JobResponse { status, state }
 }
 
 /// Returns the final record of a job with three tasks.
--- a/tests/http/client.rs
+++ b/tests/http/client.rs
@@ -35,10 +35,10 @@
             .unwrap()
     }
 
-    /// Sends a `GET` request and returns the status. If the connection can't be set up, retries until
-    /// [`USER_TIMEOUT`] has elapsed: while more clients than the node has sockets connect, the system's
-    /// queue of connections may overflow, and an attempt that the queue drops takes longer than the
-    /// client's connect timeout.
+    /// Sends a `GET` request and returns the status of the response. If no connection can be set up,
+    /// retries until [`USER_TIMEOUT`] has elapsed. While more clients connect than the node has sockets,
+    /// the system's queue of connections may overflow, and an attempt that the system drops takes longer
+    /// than the client's connect timeout.
     pub(crate) async fn get_with_retries(&self, path: &str) -> u16 {
         let deadline = Instant::now() + USER_TIMEOUT;
         loop {
--- a/tests/http/main.rs
+++ b/tests/http/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the HTTP interface of a node that runs on ephemeral loopback ports.
 
-// A test fails by a panic, also in its helpers.
+// A panic fails the test, also in its helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod client;
--- a/tests/http/overload.rs
+++ b/tests/http/overload.rs
@@ -57,8 +57,8 @@
     assert_eq!(waiting, Vec::<String>::new());
 }
 
-/// Sends a request for `/ready` and returns the connection, which stays open like that of a worker, and
-/// the response in lower case.
+/// Sends a request for `/ready`. Returns the connection, which is left open as a worker's is, and the
+/// response in lower case.
 async fn get_ready_and_keep_connection(front: SocketAddr) -> (tokio::net::TcpStream, String) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(front).await.unwrap();
@@ -70,8 +70,8 @@
     (stream, String::from_utf8_lossy(&response).to_lowercase())
 }
 
-/// Guards against idle connections that use up all sockets: although more clients than sockets connect
-/// and each leaves its connection open, new machines, users and probes are still served.
+/// Guards against idle connections that use up all sockets. More clients connect than there are
+/// sockets, and each leaves its connection open; new machines, users and probes must still be served.
 #[tokio::test]
 async fn more_clients_than_sockets_are_all_answered() {
     let (client, _service) = start_node().await;
@@ -128,7 +128,8 @@
 }
 
 /// Lets `workers` workers send heartbeats to the only remaining node, which allows `max_connections`
-/// connections. Asserts that each worker keeps its lease and that users' queries are answered meanwhile.
+/// connections. Asserts that each worker keeps its lease and that users' queries are answered in the
+/// meantime.
 async fn assert_workers_keep_leases(workers: usize, max_connections: usize) {
     let default_limit = format!("max_connections = {MAX_CONNECTIONS}");
     let limit = format!("max_connections = {max_connections}");
@@ -176,7 +177,7 @@
 }
 
 /// Guards against status queries that delay heartbeats while the state service does not respond:
-/// queries beyond the bound are refused at once, and heartbeats of workers are accepted meanwhile.
+/// queries beyond the bound must be refused at once, and heartbeats accepted in the meantime.
 #[tokio::test]
 async fn excess_status_queries_are_refused_at_once_and_heartbeats_are_accepted() {
     let (client, service) = start_node().await;
--- a/tests/http/users.rs
+++ b/tests/http/users.rs
@@ -87,8 +87,8 @@
     assert_eq!(service.value("live/job/run-000412"), None);
 }
 
-/// Guards against a job whose live and final records are both not found, because the job completes
-/// between the two reads of a status query, a repeated submission or a cancellation.
+/// Guards against a job for which neither the live nor the final record is found, because the job
+/// completes between the two reads of a status query, a repeated submission or a cancellation.
 #[tokio::test]
 async fn job_that_completes_during_a_request_is_reported_done() {
     for request in ["poll", "repeat", "cancel"] {
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -1,4 +1,4 @@
-//! A test cloud that offers one machine type and has no machines, implemented from the protocol.
+//! A cloud that is implemented from the protocol. It offers one machine type and has no machines.
 
 use super::map;
 use axum::Router;
--- a/tests/support/fixture_table.rs
+++ b/tests/support/fixture_table.rs
@@ -1,7 +1,7 @@
 //! Fixture tables under `tests/fixtures`, which have one case per line: `name: value`.
 //!
-//! A value is text or hexadecimal digits that encode bytes. A test takes each case once and then calls
-//! [`FixtureTable::finish`], which fails if a line was not checked.
+//! A value is text, or bytes as hexadecimal digits. A test takes each case once and then calls
+//! [`FixtureTable::finish`], which fails if a case was not taken.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the file can't be read, a line is malformed, or two cases have the same name.
+    /// Panics if the file can't be read, a line has no `: `, or two cases have the same name.
     pub(crate) fn open(path: &str) -> Self {
         let file = format!("{}/tests/fixtures/{path}", env!("CARGO_MANIFEST_DIR"));
         let text = std::fs::read_to_string(&file).unwrap();
@@ -51,7 +51,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the case can't be taken or its value is not a sequence of two-digit hexadecimal numbers.
+    /// Panics if the case can't be taken or its value is not an even number of hexadecimal digits.
     pub(crate) fn take_bytes(&mut self, name: &str) -> Vec<u8> {
         let digits = self.take_text(name);
         assert!(
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Test helpers that start a node on ephemeral loopback ports, with a state service and a cloud that
 //! are implemented from the protocol.
 
-// A test fails by a panic, also in its helpers. Each test program uses only some of the helpers.
+// A panic fails the test, also in its helpers. Each test program uses only some of the helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used, dead_code)]
 
 mod cloud;
@@ -21,7 +21,7 @@
 use umbervale::node::Node;
 use umbervale::settings::Settings;
 
-/// The timeout of tests, long enough for a machine under high load.
+/// The time for which tests wait, long enough for a machine under high load.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Returns a MessagePack map with text keys.
@@ -101,7 +101,8 @@
     )
 }
 
-/// A node that answers `/ready` with 200, its address for users and workers, and its state service.
+/// A node that answers `/ready` with 200: a client to call it with, its address for users and
+/// workers, and its state service.
 pub(crate) struct ReadyNode {
     pub(crate) http: HttpClient,
     pub(crate) front: SocketAddr,
@@ -121,7 +122,8 @@
     let node = node.await.unwrap();
     let http = HttpClient::default();
     let front = node.front().unwrap();
-    // The node stops with the runtime of the test. If the node fails earlier, its requests fail.
+    // The node stops with the runtime of the test. If the node stops earlier, the test fails because
+    // its requests get no response.
     tokio::spawn(node.serve());
     let ready = async {
         loop {
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -1,5 +1,6 @@
-//! The data of a state service that is implemented from the protocol: its keys, conditional commits and
-//! changes, and its replies. The HTTP tests and the load program (`benches/load`) share this module.
+//! The data of a state service that is implemented from the protocol: its keys, conditional commits
+//! and changes, and its responses. The HTTP tests and the load program (`benches/load`) share this
+//! module.
 
 use axum::http::StatusCode;
 use rmpv::Value;
@@ -7,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use umbervale::wire::{encode, store as wire};
 
-/// Number of changes that the protocol says are retained for watches.
+/// Number of changes that are retained for watches, as the protocol requires.
 const MAX_RETAINED_CHANGES: usize = 10_000;
 
 /// The status and the body of an HTTP response.
@@ -87,7 +88,7 @@
         })
     }
 
-    /// Returns the reply to a read of a key.
+    /// Returns the response to a read of a key.
     pub(crate) fn read(&self, key: &str) -> Reply {
         match self.item(key) {
             Some(item) => (StatusCode::OK, encode(&item)),
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Returns a page of the keys that have the prefix and follow the key `after`, if the query names one.
+    /// Returns a page of the keys with the prefix. If the query names a key `after`, the page starts
+    /// after that key.
     pub(crate) fn list_page(&self, query: &ListQuery) -> wire::Listing {
         let (prefix, after) = (&*query.under, query.after.as_deref());
         let first_key = after.unwrap_or(prefix);
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Executes a transaction and replies with the new revision, or with the keys whose comparison failed.
+    /// Applies a transaction if all of its comparisons hold. Returns the response: the new revision, or
+    /// the keys whose comparison failed.
     pub(crate) fn commit(&mut self, transaction: wire::Transaction) -> Reply {
         let failed = transaction.comparisons.iter();
         let failed =
--- a/tests/wire_format/main.rs
+++ b/tests/wire_format/main.rs
@@ -3,7 +3,7 @@
 //! The fixtures never change: a difference means that nodes of different versions, or a node and its
 //! users, its workers, the cloud or the state service, would misunderstand each other.
 
-// A test fails by a panic, also in its helpers.
+// A panic fails the test, also in its helpers.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 #[path = "../support/fixture_table.rs"]
--- a/tests/wire_format/messages/malformed.rs
+++ b/tests/wire_format/messages/malformed.rs
@@ -9,7 +9,7 @@
 use umbervale::wire::worker::{ExitReason, Heartbeat, Task, TaskState};
 use umbervale::wire::{decode, encode};
 
-/// Returns the values that replace each field in turn, with the names of their types.
+/// Returns the values that replace the value of each field in turn, with names of their types.
 fn malformed_values() -> Vec<(&'static str, Value)> {
     vec![
         ("null", Value::Nil),
@@ -23,7 +23,7 @@
     ]
 }
 
-/// Returns the error text that the sender of a body receives, or `accepted` if the body is valid.
+/// Returns the error text that the sender of a body receives, or `accepted` if the body is decoded.
 fn decode_outcome<T: DeserializeOwned>(body: &Value) -> String {
     match decode::<T>(&encode(body)) {
         Ok(_) => "accepted".into(),
@@ -31,8 +31,8 @@
     }
 }
 
-/// Removes each field of a valid body and replaces its value, one at a time, and asserts that the errors
-/// match the fixture.
+/// Removes each field of a valid body, replaces each field's value by malformed ones, and asserts for
+/// each of these bodies that the outcome matches the fixture.
 fn assert_damaged_fields_match<T: DeserializeOwned>(
     table: &mut FixtureTable,
     group: &str,
--- a/tests/wire_format/messages/users.rs
+++ b/tests/wire_format/messages/users.rs
@@ -120,7 +120,7 @@
         assert_round_trip(&mut table, &with_counts, &status(state, Some((3, 100_000))));
     }
     for (name, error) in [("refusal", "unknown team"), ("refusal_empty", "")] {
-        // A `Refusal` can only be encoded.
+        // A `Refusal` can't be decoded, only encoded.
         assert_eq!(encode(&Refusal { error }), table.take_bytes(name), "{name}");
     }
     table.finish();
