--- a/src/engine/tests/large_gangs.rs
+++ b/src/engine/tests/large_gangs.rs
@@ -164,7 +164,8 @@
     }
 }
 
-/// A machine is lost while the round of a gang is written. The gang must not stay started in part.
+/// A machine is lost while the round of a gang is written. The gang must still complete, and must
+/// not stay started in part.
 #[test]
 fn gang_completes_despite_machine_loss_while_its_round_is_written() {
     let mut cluster = cluster_with_lowest_limits();
--- a/src/engine/tests/simulated_cluster/mod.rs
+++ b/src/engine/tests/simulated_cluster/mod.rs
@@ -70,7 +70,7 @@
     /// machines.
     rent_requests: BTreeMap<String, Vec<String>>,
     pending_heartbeats: BTreeMap<ReplyId, PendingHeartbeat>,
-    /// All replies except those to the workers' heartbeats.
+    /// All replies except those to heartbeats for which a worker waits.
     query_replies: BTreeMap<ReplyId, Reply>,
     /// The faults that are currently in effect.
     pub(crate) faults: Faults,
--- a/src/engine/tests/simulated_cluster/nodes.rs
+++ b/src/engine/tests/simulated_cluster/nodes.rs
@@ -92,7 +92,8 @@
         node as u64 * 1000 + self.nodes[node].epoch
     }
 
-    /// Ends a node's process without a shutdown. Calls in flight are still executed.
+    /// Ends a node's process without a shutdown. Calls in flight, except watches, are still
+    /// executed.
     pub(crate) fn crash(&mut self, node: usize) {
         self.nodes[node].engine = None;
         self.nodes[node].epoch += 1;
