--- a/src/engine/tests/failover_at_scale.rs
+++ b/src/engine/tests/failover_at_scale.rs
@@ -107,13 +107,11 @@
         // The limit covers the election, the first heartbeats and the partition.
         assert!(
             outcome.first_start_ms < 30_000,
-            "seed {seed}: first start after {} ms",
-            outcome.first_start_ms
+            "seed {seed}: first start too late"
         );
         assert!(
             outcome.recovered_ms < RECOVERY_LIMIT_MS,
-            "seed {seed}: recovered after {} ms",
-            outcome.recovered_ms
+            "seed {seed}: recovered too late"
         );
     }
 }
