--- a/src/engine/blocked_job_queries.rs
+++ b/src/engine/blocked_job_queries.rs
@@ -11,8 +11,8 @@
     job: JobId,
     reply: ReplyId,
     received_at: Timestamp,
-    /// Number of refreshes that began before the query; the next one after them makes it
-    /// answerable.
+    /// Number of refreshes that had completed or were in flight when the query arrived. The query
+    /// can be answered once more refreshes than that have completed.
     earlier_refreshes: u64,
 }
 
@@ -51,7 +51,8 @@
         true
     }
 
-    /// Reports whether a refresh is to be begun now.
+    /// Reports whether a refresh is due: queries wait for one, none is in flight, and
+    /// [`constants::REFRESH_INTERVAL`] has passed since the last one began.
     pub(super) fn needs_refresh(&self, now: Timestamp) -> bool {
         let is_waiting = |query: &PendingQuery| !self.is_answerable(query);
         self.pending.iter().any(is_waiting)
--- a/src/engine/completion_steps.rs
+++ b/src/engine/completion_steps.rs
@@ -44,7 +44,8 @@
             Err(StoreError::Malformed(error)) => {
                 tracing::error!(%error, "completions rejected");
             }
-            // An earlier write that got no response was applied after all.
+            // If a progress record has changed, an earlier write of it that got no response was
+            // applied after all.
             Err(StoreError::Conflict(failed)) => self.read_progress_records(failed),
             _ => {}
         }
@@ -120,8 +121,8 @@
                 JobState::Done
             }
             JobPhase::Cancelled => JobState::Cancelled,
-            // The job is open again, so the end that was written is no longer known here. The job's
-            // final record holds it.
+            // The job was removed and admitted again since the write, so the state that was written
+            // is no longer known here. The job's final record holds it.
             JobPhase::Open => return,
         };
         self.dependencies.record_final_state(id, state);
--- a/src/engine/completions.rs
+++ b/src/engine/completions.rs
@@ -80,7 +80,7 @@
         self.finished.insert(job.clone());
     }
 
-    /// Queues the progress of a job of which a task, but not the whole job, has completed.
+    /// Queues the progress of a job of which a task has completed, but not all tasks.
     pub(super) fn add_progress(&mut self, job: &JobId) {
         self.progress.insert(job.clone());
     }
@@ -105,10 +105,10 @@
     }
 
     /// Begins the next transaction and returns it with the changes that it writes. Returns `None`
-    /// if there is nothing to write, a transaction is in flight, or a retry is not due yet.
+    /// if no change is due, a transaction is in flight, or a retry is not due yet.
     ///
     /// Ends of jobs come first, then jobs that are no longer blocked. Progress and removals are
-    /// added only once per progress interval.
+    /// added at most once per progress interval.
     pub(super) fn next_transaction(
         &mut self,
         sources: CompletionSources<'_>,
--- a/src/engine/dependencies.rs
+++ b/src/engine/dependencies.rs
@@ -5,8 +5,8 @@
 //! records, which never change. The leader then removes the names from the record, on condition
 //! that it still leads and that the record's version is unchanged; only this write allows a round
 //! to start the job. A blocked job counts as cancelled as soon as one of its dependencies is
-//! cancelled. Every node derives this from the records of the jobs that it depends on, directly or
-//! not, without a second write.
+//! cancelled. Every node derives this from the records of the job's direct and transitive
+//! dependencies, without a second write.
 
 use super::context::Context;
 use super::records::{self, JobRecord};
@@ -99,7 +99,8 @@
         self.evaluation_requested |= !self.blocked.is_empty();
     }
 
-    /// Stores the durable final state of a job, if blocked jobs exist that may depend on it.
+    /// Stores the durable final state of a job and requests an evaluation, if there are any blocked
+    /// jobs, which may depend on it.
     pub(super) fn record_final_state(&mut self, id: &JobId, state: JobState) {
         if !self.blocked.is_empty() {
             self.final_states.insert(id.clone(), state);
@@ -267,9 +268,9 @@
         }
     }
 
-    /// Removes a job from the blocked ones, because the write that
-    /// [`Dependencies::add_unblocked_job`] added is durable. Returns `None` if the job is not
-    /// blocked.
+    /// Removes a job from the blocked jobs after the write that
+    /// [`Dependencies::add_unblocked_job`] added has become durable. Returns `None` if the job is
+    /// not blocked.
     pub(super) fn on_unblocked_job_written(
         &mut self,
         id: &JobId,
--- a/src/engine/dependency_steps.rs
+++ b/src/engine/dependency_steps.rs
@@ -25,7 +25,8 @@
 
 impl Engine {
     /// Evaluates the dependencies, requests the final records of dependencies whose state is
-    /// unknown, and refreshes the live records if queries about blocked jobs wait for that.
+    /// unknown, begins a refresh of the live records if queries about blocked jobs wait for one,
+    /// and sends the replies that are due.
     pub(super) fn advance_dependencies(&mut self) {
         let now = self.context.now();
         self.evaluate_dependencies();
@@ -91,8 +92,8 @@
             .on_final_record_read(job, state, &mut self.context);
     }
 
-    /// Queues a user's query for the state of a blocked job. Replies [`Reply::Unavailable`] if too
-    /// many queries are pending.
+    /// Queues a user's query for the state of a blocked job. Replies with [`Reply::Unavailable`] if
+    /// too many queries are pending.
     pub(super) fn on_blocked_job_query(&mut self, job: JobId, reply: ReplyId) {
         if !self.queries.add(job, reply, self.context.now()) {
             self.outbox.reply(reply, Reply::Unavailable);
--- a/src/engine/records.rs
+++ b/src/engine/records.rs
@@ -7,7 +7,7 @@
 //! | `live/job/<id>` | submission with dependencies, time of submission, whether cancelled | any node; the leader rewrites it when the job may start, and removes it when the job is over |
 //! | `final/<id>` | the final state of the job | any node (cancelled), the leader (done) |
 //! | `work/<id>/0`, `work/<id>/<part>p` | progress: the completed tasks of an array, in parts if the array is large | the leader |
-//! | `work/<id>/<chunk>` | progress of a large array in the larger chunks of the version before dependencies | that version; this one only reads it |
+//! | `work/<id>/<chunk>` | progress of a large array in the larger chunks of the version before dependencies | that version; this one only reads and removes it |
 //! | `rounds/<number>`, `rounds/<number>.<part>` | the starts of a round; a round is undone by stopping each of its starts | the leader |
 //!
 //! Keys and field names must not change, because other versions read the stored records.
@@ -45,10 +45,10 @@
     pub ready_at: Option<UnixTime>,
 }
 
-/// A job's record in its stored form. The submission of a blocked job is stored in a separate
-/// field, without which the version before dependencies can't decode the record. That version then
-/// leaves the job alone, reports it as queued and can cancel it, but never starts it. The
-/// submission of a cancelled job is stored in the field that the earlier version reads.
+/// A job's record in its stored form. The submission of a blocked job is stored in the field `step`
+/// instead of `job`. The version before dependencies reads only `job` and can't decode a record
+/// without it: it leaves the job alone, reports it as queued and can cancel it, but never starts
+/// it. The submission of a cancelled job is stored in `job`, where that version finds it.
 #[derive(Clone, Serialize, Deserialize)]
 struct StoredJob {
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -229,7 +229,8 @@
 
 /// Decodes a value as a record; `None` if the value does not have the form of that record.
 pub(super) fn from_value<T: DeserializeOwned>(value: Value) -> Option<T> {
-    // Decodes by way of bytes, with records as maps, the only form in which records are written.
+    // Decodes the value from its bytes, because `wire::decode` accepts only maps, the form in which
+    // all records are written.
     wire::decode(&wire::encode(&value)).ok()
 }
 
--- a/src/engine/rounds/maintenance.rs
+++ b/src/engine/rounds/maintenance.rs
@@ -34,7 +34,8 @@
 }
 
 impl Engine {
-    /// Undoes stalled starts, and queues the records of finished and orphaned rounds for removal.
+    /// Undoes stalled starts, queues the records of finished rounds for removal, and continues the
+    /// search for orphaned records.
     pub(in crate::engine) fn maintain_rounds(&mut self) {
         self.search_orphaned_rounds();
         let now = self.context.now();
@@ -58,10 +59,10 @@
         }
     }
 
-    /// Returns the tasks whose start was never sent and which are either overdue, because their
-    /// machine sends no heartbeat, or requested to stop. Such a start can be undone at once. A
-    /// start that was sent is kept until a heartbeat of its machine shows whether the task is
-    /// there.
+    /// Returns the tasks whose start is durable but was never sent, and which either are overdue,
+    /// because their machine sends no heartbeat, or are to be stopped. Such a start can be undone
+    /// at once. A start that was sent is kept until a heartbeat of its machine shows whether the
+    /// task is there.
     fn stalled_starts(&self) -> Vec<TaskId> {
         let now = self.context.now();
         let max_unsent_age =
--- a/src/engine/rounds/mod.rs
+++ b/src/engine/rounds/mod.rs
@@ -79,8 +79,8 @@
 pub(super) struct Rounds {
     /// Durable rounds whose records are still needed.
     open: BTreeMap<u64, Round>,
-    /// Rounds being written: at most one that takes a single transaction and one that takes
-    /// several.
+    /// Rounds being written: at most one that takes a single transaction, and at most one that
+    /// takes several.
     writing: BTreeMap<u64, RoundWrite>,
     /// Number of rounds begun in this term.
     count: u64,
--- a/src/engine/rounds/write_state.rs
+++ b/src/engine/rounds/write_state.rs
@@ -61,8 +61,9 @@
         self.round.parts.len() > self.parts_per_transaction
     }
 
-    /// Returns the transaction that writes the next parts, conditional on the leader's key having
-    /// `leader_version` and on the versions of the jobs' records.
+    /// Returns the transaction that writes the next parts. Its conditions are that the leader's key
+    /// has `leader_version`, that the parts' keys do not exist yet, and that the records of the
+    /// round's jobs still have their versions.
     pub(super) fn transaction(&self, leader_version: u64) -> Transaction {
         let mut transaction = Transaction::default().compare(LEADER_KEY, leader_version);
         for part in &self.round.parts[self.parts_in_flight()] {
--- a/src/engine/rounds/writing.rs
+++ b/src/engine/rounds/writing.rs
@@ -198,9 +198,9 @@
         }
     }
 
-    /// Excludes the changed jobs from planning until the watch has delivered their changes.
-    /// Otherwise the next round could fail because of the same jobs, and with it the starts of
-    /// other jobs.
+    /// Excludes the changed jobs from planning for [`constants::CHANGED_JOB_PAUSE`], in which the
+    /// watch usually delivers their changes. Otherwise the next round could fail because of the
+    /// same jobs, and with it the starts of other jobs.
     fn back_off_changed_jobs(&mut self, changed_keys: &[String]) {
         let until = self.context.now() + constants::CHANGED_JOB_PAUSE;
         let ids = changed_keys.iter();
@@ -290,8 +290,7 @@
         }
     }
 
-    /// Removes the placement of a task whose start was never sent, so that the task is pending
-    /// again.
+    /// Removes the placement of a task whose start was never sent. The task is then pending again.
     fn withdraw_start(&mut self, task: &TaskId, attempt: u64) {
         let placement = self.jobs.placement(task);
         if placement.is_some_and(|placement| placement.attempt == attempt) {
