--- a/src/model/dependencies.rs
+++ b/src/model/dependencies.rs
@@ -67,7 +67,7 @@
 
 /// Working state of the topological sort (Kahn's algorithm).
 struct RemainingDependencies<'a> {
-    /// For each job with unvisited blocked dependencies, the number of these dependencies.
+    /// For each job that has blocked dependencies, the number of them that are unvisited.
     counts: BTreeMap<&'a JobId, usize>,
     /// For each blocked job, the blocked jobs that depend on it.
     dependents: BTreeMap<&'a JobId, Vec<&'a JobId>>,
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// A job that may run, with the state of it that this node has observed.
+/// A job that may run, with its state as known to this node.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// Specification of the job, from its submission.
@@ -72,7 +72,8 @@
     pub placements: BTreeMap<u32, Placement>,
     /// Number of task failures since a task of the job last completed.
     pub consecutive_failures: u32,
-    /// Time before which no task of the job is started, as backoff after failures.
+    /// Time before which no task of the job is planned. Set after a task failure, and after a round
+    /// was abandoned because the job's record had changed.
     pub backoff_until: Timestamp,
     /// Machines on which tasks of the job have failed since one last completed.
     pub failed_machines: BTreeSet<MachineId>,
--- a/src/model/job_spec.rs
+++ b/src/model/job_spec.rs
@@ -103,8 +103,8 @@
 
     /// Returns the deadline of the job if it was submitted at `submitted_at`.
     ///
-    /// A job without a deadline is treated as due after [`DEFAULT_DEADLINE`], so that it is ordered
-    /// after all jobs that are due earlier.
+    /// A job without a deadline is treated as due [`DEFAULT_DEADLINE`] after its submission, so that
+    /// it is ordered after all jobs that are due earlier.
     pub fn deadline_at(&self, submitted_at: UnixTime) -> UnixTime {
         submitted_at.saturating_add(self.deadline.unwrap_or(DEFAULT_DEADLINE))
     }
--- a/src/model/machine.rs
+++ b/src/model/machine.rs
@@ -164,11 +164,11 @@
     /// Records a heartbeat that is newer than all earlier ones, and updates
     /// [`Machine::responsive`].
     ///
-    /// A heartbeat that arrives within `deadline` of the previous one, without a heartbeat to
-    /// another node in between, proves that the worker received the previous response. Any other
-    /// heartbeat proves nothing: it may come from a machine that receives no responses and
-    /// therefore tries the other nodes in turn, or be a delayed copy from a machine that no longer
-    /// exists.
+    /// A heartbeat proves that the machine is alive and receives responses if it confirms this
+    /// leader's token and is either the first to do so or follows the previous heartbeat within
+    /// `deadline`, without a heartbeat to another node in between. Any other heartbeat proves
+    /// nothing: it may come from a machine that receives no responses and therefore tries the other
+    /// nodes in turn, or be a delayed copy from a machine that no longer exists.
     pub fn record_heartbeat(
         &mut self,
         sequence: HeartbeatSequence,
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -229,7 +229,8 @@
 }
 
 impl MachineType {
-    /// Returns the GB of images that a machine of this type can fetch within the boot time of one.
+    /// Returns how many GB of images a machine of this type fetches in the time that one takes to
+    /// boot.
     pub fn boot_gb(&self) -> f64 {
         whole_millis(self.boot_time) as f64 / 1000.0 * self.fetch_gb_per_s
     }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -34,7 +34,7 @@
         /// Number of running tasks.
         running: u64,
     },
-    /// Acknowledges a message, or answers a message to which there is no other answer.
+    /// Acknowledges a message. Also the answer to [`Message::Count`] if the numbers are not known.
     Nothing,
     /// Announces that a job's cancellation is durable; answered with [`Message::Nothing`].
     Cancelled {
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Returns the error of a call that got no response.
+/// Converts the HTTP client's error to the error of the call.
 fn store_error(call: &StoreCall, error: HttpError) -> StoreError {
     match (error, call) {
         (HttpError::NotSent(cause), _) => NotExecutedCause::from(cause).into(),
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -62,7 +62,8 @@
 /// Why a request or a response is malformed.
 #[derive(Debug, thiserror::Error)]
 pub enum MalformedCause {
-    /// The response has a status code that the protocol does not define for the call.
+    /// The response has a status code that the client does not expect for the call, such as 400 for
+    /// a malformed request.
     #[error("status {status}: {text}")]
     Status {
         /// The HTTP status code.
@@ -95,7 +96,7 @@
 /// Why it is unknown whether a call was executed.
 #[derive(Debug, thiserror::Error)]
 pub enum UnknownOutcomeCause {
-    /// The request got no response.
+    /// The request got no complete response, or one that exceeds the size limit.
     #[error(transparent)]
     Http(#[from] HttpError),
     /// The response cannot be decoded.
--- a/src/store/limits.rs
+++ b/src/store/limits.rs
@@ -10,8 +10,8 @@
 pub(super) struct CallLimits {
     calls: RateLimiter,
     mutations: RateLimiter,
-    /// Mutations reserved for users, because the leader may temporarily take all tokens of
-    /// `mutations`.
+    /// Limits the mutations that are reserved for users. Users need their own share because the
+    /// leader may temporarily take all tokens of `mutations`.
     user_mutations: RateLimiter,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Takes a token for each mutation. Users' calls try the reserved tokens first.
+    /// Takes a token for each mutation. A user's call tries the tokens reserved for users first.
     async fn admit_mutations(
         &self,
         mutations: f64,
--- a/src/store/response.rs
+++ b/src/store/response.rs
@@ -15,7 +15,7 @@
 /// # Errors
 ///
 /// The error that the status code stands for; [`StoreError::UnknownOutcome`] if the body cannot be
-/// decoded; [`StoreError::Malformed`] if the protocol does not define the status code for the call.
+/// decoded; [`StoreError::Malformed`] for any other status code.
 pub(super) fn decode_response(
     call: &StoreCall,
     response: &HttpResponse,
@@ -81,7 +81,7 @@
     decode(&response.body).map_err(|error| UnknownOutcomeCause::from(error).into())
 }
 
-/// Returns the error for a status code that the protocol does not define for the call.
+/// Returns the error for a status code that is not expected for the call.
 fn unexpected_status(response: &HttpResponse) -> StoreError {
     let status = response.status;
     let text = String::from_utf8_lossy(&response.body);
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,8 +1,8 @@
 //! The messages of the platform's protocol.
 //!
 //! Bodies are MessagePack maps with text keys. The types use the usual terms of cluster scheduling,
-//! and their serde attributes map these to the field names on the wire, which no other module
-//! encodes or decodes.
+//! and their serde attributes map these to the field names on the wire. No other module encodes or
+//! decodes these names.
 
 pub mod cloud;
 pub mod store;
