--- a/src/model/machine.rs
+++ b/src/model/machine.rs
@@ -115,7 +115,8 @@
     /// Whether the machine is being drained by moving its replicas to other machines. A draining
     /// machine accepts no tasks and is returned when it is empty.
     pub draining: bool,
-    /// Since when no task is on the machine.
+    /// When a task was last placed on the machine, or when the machine was first observed or came
+    /// up, whichever is latest. Idle time counts from then while the machine is empty.
     pub idle_since: Timestamp,
 }
 
--- a/src/model/placement.rs
+++ b/src/model/placement.rs
@@ -12,7 +12,8 @@
     Starting {
         /// The heartbeat whose response last carried the start command, if any did.
         sent: Option<HeartbeatSequence>,
-        /// How many times the start command was resent.
+        /// How many times the start command was resent; `u32::MAX` for a start that an earlier
+        /// leader wrote, which is never resent.
         resends: u32,
     },
     /// A heartbeat listed the task in this state.
@@ -39,8 +40,8 @@
     pub attempt: u64,
     /// Stage of the task.
     pub stage: PlacementStage,
-    /// The latest of the times at which the round was planned, the round became durable, and a
-    /// heartbeat first listed the task.
+    /// The latest of the times at which the round was planned, the round became durable, a new
+    /// leader read the round, and a heartbeat first listed the task.
     pub stage_since: Timestamp,
     /// The pending stop request; `None` if the task is not being stopped.
     pub stop_request: Option<StopRequest>,
