--- a/src/api/bodies/tests.rs
+++ b/src/api/bodies/tests.rs
@@ -92,7 +92,7 @@
             }
         }
     }
-    let max_user_bodies = 512 * KIB / constants::USER_BODY_DIVISOR / (64 * KIB);
+    let max_user_bodies = 512 * KIB / constants::USER_BODY_MEMORY_DIVISOR / (64 * KIB);
     assert_eq!(
         (bodies.len(), refused),
         (max_user_bodies, 20 - max_user_bodies)
--- a/src/api/connections.rs
+++ b/src/api/connections.rs
@@ -50,7 +50,7 @@
 
     /// Reports whether so few connections are left that none should stay open between requests.
     pub(super) fn is_near_limit(&self) -> bool {
-        let spare_connections = self.max_connections / constants::SPARE_CONNECTIONS_DIVISOR;
+        let spare_connections = self.max_connections / constants::RESERVED_CONNECTIONS_DIVISOR;
         self.permits.available_permits() < spare_connections
     }
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -68,7 +68,7 @@
         peers: Arc<Vec<Link>>,
     ) -> Arc<Self> {
         let body_budget = BodyBudget::new(settings.body_budget());
-        let announcement_permits = Semaphore::new(constants::MAX_CANCELLATION_NOTICES);
+        let announcement_permits = Semaphore::new(constants::MAX_CANCELLATION_ANNOUNCEMENTS);
         Arc::new(Api {
             settings,
             store,
--- a/src/engine/heartbeats/failures.rs
+++ b/src/engine/heartbeats/failures.rs
@@ -7,7 +7,7 @@
 
 impl Engine {
     /// Handles the failure of a task: delays the job's restart and records the job as failed on the
-    /// machine. A machine on which [`constants::QUARANTINE_AFTER_JOBS`] jobs have failed is
+    /// machine. A machine on which [`constants::QUARANTINE_FAILED_JOBS`] jobs have failed is
     /// quarantined.
     pub(super) fn on_task_failed(&mut self, machine: &MachineId, id: &JobId) {
         self.delay_restart(id);
@@ -18,7 +18,7 @@
         let leader = self.leadership.leader_mut();
         if let Some(machine) = leader.and_then(|leader| leader.machines.get_mut(machine)) {
             machine.failed_jobs.insert(id.clone());
-            if machine.failed_jobs.len() >= constants::QUARANTINE_AFTER_JOBS {
+            if machine.failed_jobs.len() >= constants::QUARANTINE_FAILED_JOBS {
                 quarantine(machine);
             }
         }
--- a/src/engine/rounds/writing.rs
+++ b/src/engine/rounds/writing.rs
@@ -202,7 +202,7 @@
     /// watch usually delivers their changes. Otherwise the next round could fail because of the
     /// same jobs, and with it the starts of other jobs.
     fn back_off_changed_jobs(&mut self, changed_keys: &[String]) {
-        let until = self.context.now() + constants::CHANGED_JOB_PAUSE;
+        let until = self.context.now() + constants::CHANGED_JOB_BACKOFF;
         let ids = changed_keys.iter();
         for id in ids.filter_map(|key| key.strip_prefix(JOB_PREFIX)) {
             if let Some(job) = self.jobs.get_mut(&id.into()) {
--- a/src/engine/tests/dependencies/blocked_jobs.rs
+++ b/src/engine/tests/dependencies/blocked_jobs.rs
@@ -2,9 +2,9 @@
 
 use super::super::simulated_cluster::SimulatedCluster;
 use super::super::support::{
-    JobChanges, assert_completes, cluster_with, dependent_job, lasting_job, short_job,
+    JobSubmissionExt, assert_completes, cluster_with, dependent_job, job_with_duration, short_job,
 };
-use crate::constants::STARVATION_AFTER;
+use crate::constants::STARVATION_THRESHOLD;
 use crate::model::{Job, JobId, JobPhase, JobSpec, Timestamp, UnixTime};
 use crate::wire::user::{JobKind, Priority};
 use std::time::Duration;
@@ -75,7 +75,7 @@
         JobPhase::Open,
         Timestamp::default(),
     );
-    let late = UnixTime::from_millis(1_000).saturating_add(2 * STARVATION_AFTER);
+    let late = UnixTime::from_millis(1_000).saturating_add(2 * STARVATION_THRESHOLD);
     assert!(job.is_starving(late));
     job.ready_at = UnixTime::from_millis(late.as_millis() - 1_000);
     assert!(!job.is_starving(late));
@@ -86,7 +86,7 @@
 /// the wait: the deadline counts from the submission, starvation from when the job could start.
 #[test]
 fn times_of_a_blocked_job_survive_a_failover() {
-    let first = lasting_job("run-1", JobKind::Array, 1, 60.0);
+    let first = job_with_duration("run-1", JobKind::Array, 1, 60.0);
     let mut last = dependent_job("run-2", JobKind::Service, 1, &["run-1"]);
     last.deadline_s = Some(900.0);
     let mut cluster = cluster_with(vec![first, last]);
@@ -121,7 +121,7 @@
 /// later one that is not blocked gets it.
 #[test]
 fn blocked_job_uses_no_team_guarantee() {
-    let first = lasting_job("run-1", JobKind::Array, 1, 300.0);
+    let first = job_with_duration("run-1", JobKind::Array, 1, 300.0);
     let waiting = dependent_job("run-2", JobKind::Array, 3, &["run-1"]);
     let mut cluster = cluster_with(vec![first, waiting]);
     cluster.run(100);
--- a/src/engine/tests/simulated_cluster/workers/tasks.rs
+++ b/src/engine/tests/simulated_cluster/workers/tasks.rs
@@ -1,4 +1,4 @@
-//! The course of tasks on workers.
+//! The life cycle of tasks on workers.
 
 use super::super::invariants::CANCELLATION_LIMIT;
 use super::super::{Faults, Millis, SimulatedCluster};
@@ -7,57 +7,59 @@
 use crate::wire::worker::{ExitReason, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long an image is fetched that is not in the machine's cache.
-const FETCH_TIME: Millis = 8_000;
+/// Time to fetch an image that is not in the machine's cache.
+const IMAGE_FETCH_TIME: Millis = 8_000;
 
 /// A task on a worker.
 #[derive(Clone)]
 pub(crate) struct WorkerTask {
-    /// The attempt that the leader named.
+    /// The attempt number given by the leader.
     pub(crate) attempt: u64,
-    /// When it came into its state.
+    /// The time at which the task entered its current state.
     state_since: Millis,
-    /// Its state.
+    /// The current state.
     pub(crate) state: TaskState,
     pub(super) exit_reason: Option<ExitReason>,
     pub(super) stopping: bool,
-    /// Whether a checkpoint was saved when it was stopped.
+    /// Whether a checkpoint was saved when the task was stopped; `None` if none was attempted.
     pub(super) checkpoint_saved: Option<bool>,
 }
 
-/// What decides how a task goes on.
+/// The conditions on which a task's state transitions depend.
 struct TaskContext<'a> {
     now: Millis,
     job: &'a JobSubmission,
     faults: &'a Faults,
     machine_fails: bool,
     image_cached: bool,
-    /// How long it runs; 0: without end.
+    /// Time for which the task runs; 0 means until it is stopped.
     run_time: Millis,
 }
 
-fn milliseconds(seconds: f64) -> Millis {
+/// Converts seconds to whole milliseconds, rounding down.
+fn secs_to_millis(seconds: f64) -> Millis {
     (seconds * 1000.0) as Millis
 }
 
 impl TaskContext<'_> {
+    /// Returns the time that saving a checkpoint takes.
     fn checkpoint_time(&self) -> Millis {
-        milliseconds(self.job.checkpoint_cost_s)
+        secs_to_millis(self.job.checkpoint_cost_s)
     }
 }
 
 impl WorkerTask {
-    /// A task that begins with fetching its image.
+    /// Creates a task that starts by fetching its image.
     pub(super) fn fetching(attempt: u64, now: Millis) -> WorkerTask {
-        WorkerTask::in_state(TaskState::Fetching, attempt, now)
+        WorkerTask::new(TaskState::Fetching, attempt, now)
     }
 
-    /// A task that runs already.
+    /// Creates a task that is already running.
     pub(super) fn running(attempt: u64, now: Millis) -> WorkerTask {
-        WorkerTask::in_state(TaskState::Running, attempt, now)
+        WorkerTask::new(TaskState::Running, attempt, now)
     }
 
-    fn in_state(state: TaskState, attempt: u64, now: Millis) -> WorkerTask {
+    fn new(state: TaskState, attempt: u64, now: Millis) -> WorkerTask {
         WorkerTask {
             attempt,
             state_since: now,
@@ -68,7 +70,7 @@
         }
     }
 
-    fn enter(&mut self, state: TaskState, now: Millis) {
+    fn enter_state(&mut self, state: TaskState, now: Millis) {
         self.state = state;
         self.state_since = now;
     }
@@ -78,7 +80,7 @@
         self.exit_reason = Some(reason);
     }
 
-    /// Goes into the next state if it is time.
+    /// Enters the next state if the time for it has come.
     fn advance(&mut self, context: &TaskContext) {
         if self.stopping {
             return self.advance_stop(context);
@@ -87,7 +89,7 @@
         match self.state {
             TaskState::Fetching if self.has_image(context) => self.finish_fetch(context),
             TaskState::WaitingForGang if now >= self.state_since + context.faults.gang_wait => {
-                self.enter(TaskState::Running, now);
+                self.enter_state(TaskState::Running, now);
             }
             TaskState::Running
                 if context.run_time > 0 && now >= self.state_since + context.run_time =>
@@ -98,10 +100,12 @@
         }
     }
 
+    /// Advances a task that is being stopped: it exits, after saving a checkpoint if it was running
+    /// and [`Faults::save_checkpoints`] is set.
     fn advance_stop(&mut self, context: &TaskContext) {
         match self.state {
             TaskState::Running if context.faults.save_checkpoints => {
-                self.enter(TaskState::Checkpointing, context.now);
+                self.enter_state(TaskState::Checkpointing, context.now);
             }
             TaskState::Checkpointing => {
                 if context.now >= self.state_since + context.checkpoint_time() {
@@ -114,12 +118,13 @@
     }
 
     fn has_image(&self, context: &TaskContext) -> bool {
-        context.image_cached || context.now >= self.state_since + FETCH_TIME
+        context.image_cached || context.now >= self.state_since + IMAGE_FETCH_TIME
     }
 
+    /// Leaves the fetching state: the task runs, waits for its gang, or exits if a fault says so.
     fn finish_fetch(&mut self, context: &TaskContext) {
         let (job, faults) = (context.job, context.faults);
-        self.enter(TaskState::Running, context.now);
+        self.enter_state(TaskState::Running, context.now);
         if context.machine_fails || faults.failing_jobs.contains(&job.id) {
             self.exit(ExitReason::Failed);
         } else if let Some(reason) = faults.forced_exits.get(&job.id) {
@@ -129,10 +134,10 @@
         }
     }
 
-    /// When it changes by itself; none: it does not.
+    /// Returns the time of the task's next state transition that needs no command, if there is one.
     fn next_change_at(&self, context: &TaskContext) -> Option<Millis> {
         let duration = match self.state {
-            TaskState::Fetching => FETCH_TIME,
+            TaskState::Fetching => IMAGE_FETCH_TIME,
             TaskState::WaitingForGang => context.faults.gang_wait,
             TaskState::Checkpointing => context.checkpoint_time(),
             TaskState::Running if context.run_time > 0 => context.run_time,
@@ -142,7 +147,7 @@
     }
 }
 
-/// What tasks need to know of the cluster beside their worker.
+/// The parts of the cluster, other than the worker, on which the progress of tasks depends.
 struct TaskEnvironment<'a> {
     now: Millis,
     jobs: &'a BTreeMap<String, JobSubmission>,
@@ -151,16 +156,17 @@
 }
 
 impl Worker {
-    /// Restarts if its lease has expired.
+    /// Restarts the worker if its lease has expired, and resets the time of its next change to the
+    /// expiry of the lease.
     fn expire_lease(&mut self, now: Millis) {
-        self.next_change_at = self.lease_begin() + WORKER_LEASE + 1;
-        let unheard = now.saturating_sub(self.lease_begin());
-        if now >= self.up_at && unheard > WORKER_LEASE {
+        self.next_change_at = self.lease_started_at() + WORKER_LEASE + 1;
+        let since_lease_start = now.saturating_sub(self.lease_started_at());
+        if now >= self.booted_at && since_lease_start > WORKER_LEASE {
             self.restart(now);
         }
     }
 
-    /// Lets its tasks go on; those that have completed are noted.
+    /// Advances the worker's tasks and adds those that complete to `completed_tasks`.
     fn advance_tasks(
         &mut self,
         machine: &str,
@@ -180,14 +186,19 @@
                 faults: environment.faults,
                 machine_fails,
                 image_cached: self.cached_images.contains(&job.image),
-                run_time: milliseconds(job.expected_duration_s) + extra,
+                run_time: secs_to_millis(job.expected_duration_s) + extra,
             };
-            let earlier = task.state;
+            let previous_state = task.state;
             task.advance(&context);
-            if earlier == TaskState::Fetching && task.state != earlier && !task.stopping {
+            if previous_state == TaskState::Fetching
+                && task.state != previous_state
+                && !task.stopping
+            {
                 self.cached_images.insert(job.image.clone());
             }
-            if earlier == TaskState::Running && task.exit_reason == Some(ExitReason::Completed) {
+            if previous_state == TaskState::Running
+                && task.exit_reason == Some(ExitReason::Completed)
+            {
                 completed_tasks.insert(id.clone());
             }
             if let Some(at) = task.next_change_at(&context) {
@@ -198,7 +209,8 @@
 }
 
 impl SimulatedCluster {
-    /// Lets the workers' tasks go on.
+    /// Advances the tasks on all workers that are not hung, and records a violation for each task
+    /// that still runs after [`CANCELLATION_LIMIT`].
     pub(in super::super) fn advance_tasks(&mut self) {
         let now = self.now;
         let mut cancellations = self.cancelled.values();
@@ -210,8 +222,8 @@
             extra_run_time: &self.extra_run_time,
         };
         for (machine, worker) in &mut self.workers {
-            let changes = now >= worker.next_change_at || any_overdue;
-            if !changes || self.faults.hung_machines.contains(machine) {
+            let needs_update = now >= worker.next_change_at || any_overdue;
+            if !needs_update || self.faults.hung_machines.contains(machine) {
                 continue;
             }
             worker.expire_lease(now);
@@ -220,7 +232,7 @@
                 let cancelled_at = self.cancelled.get(job_of(id));
                 let overdue = cancelled_at.is_some_and(|at| now > at + CANCELLATION_LIMIT);
                 if overdue && task.state != TaskState::Exited {
-                    let violation = format!("{now}: {id} runs although it is cancelled");
+                    let violation = format!("{now}: {id} still runs after its job was cancelled");
                     self.violations.push(violation);
                 }
             }
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -3,7 +3,7 @@
 use super::{
     JobSpec, MachineId, Placement, PlacementStage, Resources, TaskSet, Timestamp, UnixTime,
 };
-use crate::constants::{STARVATION_AFTER, STARVATION_MAX_FAILURES};
+use crate::constants::{STARVATION_MAX_FAILURES, STARVATION_THRESHOLD};
 use crate::wire::user::{JobKind, Priority};
 use crate::wire::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
@@ -141,7 +141,7 @@
     }
 
     /// Reports whether no task of the job is placed or has completed although the job has been
-    /// ready for more than [`STARVATION_AFTER`].
+    /// ready for more than [`STARVATION_THRESHOLD`].
     ///
     /// A job with [`STARVATION_MAX_FAILURES`] or more consecutive failures does not count as
     /// starving: it waits because its tasks fail, not for lack of resources.
@@ -149,7 +149,7 @@
         self.placements.is_empty()
             && self.completed.is_empty()
             && self.consecutive_failures < STARVATION_MAX_FAILURES
-            && now.saturating_since(self.ready_at) > STARVATION_AFTER
+            && now.saturating_since(self.ready_at) > STARVATION_THRESHOLD
     }
 
     /// Reports whether the job is neither cancelled nor done.
--- a/src/store/response/tests.rs
+++ b/src/store/response/tests.rs
@@ -56,7 +56,7 @@
     let unreadable = decode_response(&get(), &response(200, vec![0])).unwrap_err();
     assert!(matches!(unreadable, StoreError::UnknownOutcome(_)));
     let malformed = decode_response(&get(), &response(400, vec![b'x'; 200])).unwrap_err();
-    let shown = "x".repeat(constants::MAX_SHOWN_CHARACTERS);
+    let shown = "x".repeat(constants::MAX_ERROR_BODY_CHARS);
     assert_eq!(
         malformed.to_string(),
         format!("bad request or answer: status 400: {shown}")
