--- a/src/engine/blocked_job_queries.rs
+++ b/src/engine/blocked_job_queries.rs
@@ -52,7 +52,7 @@
     }
 
     /// Reports whether a refresh is due: queries wait for one, none is in flight, and
-    /// [`constants::REFRESH_INTERVAL`] has passed since the last one began.
+    /// [`constants::BLOCKED_JOB_REFRESH_INTERVAL`] has passed since the last one began.
     pub(super) fn needs_refresh(&self, now: Timestamp) -> bool {
         let is_waiting = |query: &PendingQuery| !self.is_answerable(query);
         self.pending.iter().any(is_waiting)
--- a/src/engine/rounds/writing.rs
+++ b/src/engine/rounds/writing.rs
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Excludes the changed jobs from planning for [`constants::CHANGED_JOB_PAUSE`], in which the
+    /// Excludes the changed jobs from planning for [`constants::CHANGED_JOB_BACKOFF`], in which the
     /// watch usually delivers their changes. Otherwise the next round could fail because of the
     /// same jobs, and with it the starts of other jobs.
     fn back_off_changed_jobs(&mut self, changed_keys: &[String]) {
