--- a/src/http.rs
+++ b/src/http.rs
@@ -27,12 +27,11 @@
     /// The request was not sent, so it was not executed.
     #[error("not sent: {0}")]
     NotSent(#[source] SendError),
-    /// The request was sent and may have been executed.
-    #[error("no answer: {0}")]
+    /// The request may have been sent and executed, but no complete response arrived.
+    #[error("no complete response: {0}")]
     NoResponse(#[source] ResponseError),
-    /// The request was executed, but the body of the response is longer than
-    /// [`constants::MAX_RESPONSE_BYTES`].
-    #[error("answer over {} bytes", constants::MAX_RESPONSE_BYTES)]
+    /// A response arrived, but its body is longer than [`constants::MAX_RESPONSE_BYTES`].
+    #[error("response body over {} bytes", constants::MAX_RESPONSE_BYTES)]
     ResponseTooLong,
 }
 
@@ -47,16 +46,16 @@
     Connect(#[from] hyper_util::client::legacy::Error),
 }
 
-/// Reasons why a request that was sent got no complete response.
+/// Reasons why a request that may have been sent got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum ResponseError {
-    /// The connection failed before the head of the response arrived.
+    /// The connection failed before a valid head of the response arrived.
     #[error(transparent)]
     Head(hyper_util::client::legacy::Error),
-    /// The connection failed before the end of the body arrived.
+    /// The body could not be read to its end.
     #[error("{0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The response did not arrive within the timeout.
+    /// The complete response did not arrive within the timeout.
     #[error("timed out")]
     Timeout,
 }
@@ -152,9 +151,11 @@
     ///
     /// # Errors
     ///
-    /// Returns [`HttpError::NotSent`] if the request was not sent, [`HttpError::NoResponse`] if it
-    /// was sent but no complete response arrived in time, so that it may have been executed, and
-    /// [`HttpError::ResponseTooLong`] if it was executed but its response is too long.
+    /// - [`HttpError::NotSent`] if the request was not sent, and so not executed,
+    /// - [`HttpError::NoResponse`] if no complete response arrived within `timeout`; the request may
+    ///   have been executed,
+    /// - [`HttpError::ResponseTooLong`] if the body of the response is longer than
+    ///   [`constants::MAX_RESPONSE_BYTES`].
     pub async fn call(
         &self,
         method: Method,
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -40,7 +40,7 @@
 async fn missing_response_is_reported_as_timeout_of_a_sent_request() {
     let address = start_server(Vec::new()).await;
     let error = get(address, Duration::from_millis(50)).await.unwrap_err();
-    assert_eq!(error.to_string(), "no answer: timed out");
+    assert_eq!(error.to_string(), "no complete response: timed out");
 }
 
 #[tokio::test]
@@ -51,7 +51,7 @@
     let address = start_server(response).await;
     let error = get(address, TIMEOUT).await.unwrap_err();
     assert!(matches!(error, HttpError::ResponseTooLong), "{error}");
-    assert_eq!(error.to_string(), "answer over 1048576 bytes");
+    assert_eq!(error.to_string(), "response body over 1048576 bytes");
 }
 
 #[tokio::test]
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -12,8 +12,8 @@
     /// The lease has expired or was revoked.
     #[error("no such lease")]
     LeaseNotFound,
-    /// The service no longer keeps the changes that the watch asks for, or they exceed the largest
-    /// response that is read.
+    /// The service no longer keeps the changes that the watch asks for, or its response with them
+    /// is longer than [`crate::constants::MAX_RESPONSE_BYTES`].
     #[error("changes are no longer kept or exceed the response limit")]
     Compacted,
     /// The call was certainly not executed.
@@ -23,8 +23,9 @@
     /// later.
     #[error("outcome unknown: {0}")]
     UnknownOutcome(#[from] UnknownOutcomeCause),
-    /// The service rejected the request as malformed, or its response does not match the call.
-    #[error("bad request or answer: {0}")]
+    /// The service rejected the request as malformed, or its response is not one that the client
+    /// expects.
+    #[error("malformed request or unexpected response: {0}")]
     Malformed(#[from] MalformedCause),
 }
 
@@ -34,7 +35,7 @@
     /// The rate limiter has no token left for a user's call.
     #[error("no rate-limit token left for a user's call")]
     NoTokens,
-    /// The service refused the call with this HTTP status code.
+    /// The service refused the call with this HTTP status code: 429 or 503.
     #[error("status {0}")]
     Status(u16),
     /// The request was not sent.
@@ -59,7 +60,7 @@
     }
 }
 
-/// Why a request or a response is malformed.
+/// Why a request is considered malformed or its response unexpected.
 #[derive(Debug, thiserror::Error)]
 pub enum MalformedCause {
     /// The response has a status code that the client does not expect for the call, such as 400 for
@@ -100,7 +101,7 @@
     #[error(transparent)]
     Http(#[from] HttpError),
     /// The response cannot be decoded.
-    #[error("unreadable answer: {0}")]
+    #[error("unreadable response: {0}")]
     Undecodable(#[from] DecodeError),
     /// A simulated service failed without a response.
     #[cfg(test)]
--- a/src/store/error/tests.rs
+++ b/src/store/error/tests.rs
@@ -25,15 +25,15 @@
         ),
         (
             UnknownOutcomeCause::from(timeout).into(),
-            "outcome unknown: no answer: timed out",
+            "outcome unknown: no complete response: timed out",
         ),
         (
             undecodable.into(),
-            "outcome unknown: unreadable answer: body is not a MessagePack map",
+            "outcome unknown: unreadable response: body is not a MessagePack map",
         ),
         (
             StoreError::Malformed("status 400: no".into()),
-            "bad request or answer: status 400: no",
+            "malformed request or unexpected response: status 400: no",
         ),
     ];
     for (error, text) in cases {
--- a/src/store/response/tests.rs
+++ b/src/store/response/tests.rs
@@ -59,7 +59,7 @@
     let shown = "x".repeat(constants::MAX_ERROR_BODY_CHARS);
     assert_eq!(
         malformed.to_string(),
-        format!("bad request or answer: status 400: {shown}")
+        format!("malformed request or unexpected response: status 400: {shown}")
     );
 }
 
