--- a/benches/load/state_service.rs
+++ b/benches/load/state_service.rs
@@ -1,7 +1,7 @@
 //! A simulated state service, written from the protocol: keys, conditional commits, leases that
 //! never expire, and watches.
 
-use crate::records::{ListQuery, Records, Reply, WatchQuery};
+use crate::records::{ListQuery, Records, StatusAndBody, WatchQuery};
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{Path, Query, State};
@@ -45,7 +45,7 @@
     }
 }
 
-async fn read_one(State(service): SharedService, Path(key): Path<String>) -> Reply {
+async fn read_one(State(service): SharedService, Path(key): Path<String>) -> StatusAndBody {
     service.records().read(&key)
 }
 
@@ -53,15 +53,15 @@
     encode(&service.records().list_page(&query))
 }
 
-async fn commit(State(service): SharedService, body: Bytes) -> Reply {
+async fn commit(State(service): SharedService, body: Bytes) -> StatusAndBody {
     let Ok(transaction) = decode(&body) else {
         return (StatusCode::BAD_REQUEST, Vec::new());
     };
-    let reply = service.records().commit(transaction);
-    if reply.0 == StatusCode::OK {
+    let response = service.records().commit(transaction);
+    if response.0 == StatusCode::OK {
         service.changed.notify_waiters();
     }
-    reply
+    response
 }
 
 async fn grant_lease(State(service): SharedService) -> Vec<u8> {
--- a/tests/support/records.rs
+++ b/tests/support/records.rs
@@ -12,7 +12,7 @@
 const MAX_RETAINED_CHANGES: usize = 10_000;
 
 /// The status and the body of an HTTP response.
-pub(crate) type Reply = (StatusCode, Vec<u8>);
+pub(crate) type StatusAndBody = (StatusCode, Vec<u8>);
 
 /// The query parameters of a listing.
 #[derive(Deserialize)]
@@ -89,7 +89,7 @@
     }
 
     /// Returns the response to a read of a key.
-    pub(crate) fn read(&self, key: &str) -> Reply {
+    pub(crate) fn read(&self, key: &str) -> StatusAndBody {
         match self.item(key) {
             Some(item) => (StatusCode::OK, encode(&item)),
             None => {
@@ -121,7 +121,7 @@
 
     /// Applies a transaction if all of its comparisons hold. Returns the response: the new revision, or
     /// the keys whose comparison failed.
-    pub(crate) fn commit(&mut self, transaction: wire::Transaction) -> Reply {
+    pub(crate) fn commit(&mut self, transaction: wire::Transaction) -> StatusAndBody {
         let failed = transaction.comparisons.iter();
         let failed =
             failed.filter(|comparison| self.version(&comparison.key) != comparison.version);
--- a/tests/support/state_service.rs
+++ b/tests/support/state_service.rs
@@ -1,7 +1,7 @@
 //! A state service that is implemented from the protocol, with faults that tests can inject.
 
 use super::map;
-use super::records::{ListQuery, Records, Reply, WatchQuery};
+use super::records::{ListQuery, Records, StatusAndBody, WatchQuery};
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{Path, Query, State};
@@ -83,7 +83,7 @@
     }
 }
 
-async fn read_key(State(service): SharedService, Path(key): Path<String>) -> Reply {
+async fn read_key(State(service): SharedService, Path(key): Path<String>) -> StatusAndBody {
     if service.stalls_reads.load(Ordering::Relaxed) {
         return std::future::pending().await;
     }
@@ -100,16 +100,16 @@
     encode(&service.records.lock().unwrap().list_page(&query))
 }
 
-async fn commit(State(service): SharedService, body: Bytes) -> Reply {
+async fn commit(State(service): SharedService, body: Bytes) -> StatusAndBody {
     if service.unavailable.load(Ordering::Relaxed) {
         return (StatusCode::SERVICE_UNAVAILABLE, Vec::new());
     }
     let transaction = decode(&body).unwrap();
-    let reply = service.records.lock().unwrap().commit(transaction);
-    if reply.0 == StatusCode::OK {
+    let response = service.records.lock().unwrap().commit(transaction);
+    if response.0 == StatusCode::OK {
         service.changed.notify_waiters();
     }
-    reply
+    response
 }
 
 async fn grant_lease(State(service): SharedService) -> Vec<u8> {
